--- a/src/relay/TargetPlace.h
+++ b/src/relay/TargetPlace.h
@@ -1,4 +1,3 @@
-// Defines TargetPlace, a request's place at a target.
 #pragma once
 
 #include "base/Ids.h"
@@ -8,13 +7,13 @@
 
 class TargetDirectory;
 
-/// Counts one request of this daemon at a target for as long as it lives. The target's record stays
-/// known meanwhile, even if its entry ends.
+/// Counts one request of this daemon at a target during its lifetime. The record of the target is
+/// kept for that time even if its entry ends.
 /// Thread safety: only from the thread of the event loop.
 class TargetPlace
 {
 public:
-    /// Precondition: @p targets outlives the place; @p target is known there.
+    /// Precondition: @p targets outlives the object; @p target is known there.
     TargetPlace(TargetDirectory &targets, const TargetId &target, Tokens tokens);
     ~TargetPlace();
     TargetPlace(const TargetPlace &) = delete;
--- a/src/relay/TargetProtocol.h
+++ b/src/relay/TargetProtocol.h
@@ -1,4 +1,3 @@
-// Defines TargetProtocol, how requests and orders are written for targets and answers read.
 #pragma once
 
 #include "base/Result.h"
@@ -18,12 +17,13 @@
 struct RelayRequest;
 struct ReservationOrder;
 
-/// Pure translation: no function keeps state or chooses. Every member is set.
-/// Thread safety: as its functions; those of the adapters are thread-safe.
+/// Encodes requests to targets and decodes their answers. Translation only: the functions keep no
+/// state and make no decisions. Every member is set.
+/// Thread safety: that of its functions; those of the adapters are thread-safe.
 struct TargetProtocol {
     std::function<HttpRequest(const RelayRequest &, const AttemptPlan &)> attempt;
     std::function<AnswerHead(const RelayRequest &, int status, const HttpHeaders &)> answerHead;
-    /// The header by which a target says which request it answers.
+    /// Name of the header in which a target returns the id of the request.
     QByteArray echoHeader;
     std::function<HttpRequest()> report;
     std::function<Result<EngineReport>(const HttpResponse &)> readReport;
--- a/src/relay/WaitingRequests.cpp
+++ b/src/relay/WaitingRequests.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Several changes of room within this time are one pass over the waiting requests.
+/// Changes of room within this time are handled in one pass.
 constexpr Milliseconds PassDelay{5};
 
-bool goesBefore(const std::shared_ptr<RelayRun> &a, const std::shared_ptr<RelayRun> &b)
+bool isServedBefore(const std::shared_ptr<RelayRun> &a, const std::shared_ptr<RelayRun> &b)
 {
     if (a->isOverdue() != b->isOverdue())
         return b->isOverdue();
@@ -40,10 +40,10 @@
 
 void WaitingRequests::roomChanged()
 {
-    if (m_waiting.isEmpty() || m_soon)
+    if (m_waiting.isEmpty() || m_passTimer)
         return;
-    m_soon = m_timers.after(PassDelay, [this] {
-        m_soon.reset();
+    m_passTimer = m_timers.after(PassDelay, [this] {
+        m_passTimer.reset();
         tryAll();
     });
 }
@@ -56,7 +56,7 @@
         if (run && run->isWaiting())
             runs.append(run);
     }
-    std::stable_sort(runs.begin(), runs.end(), goesBefore);
+    std::stable_sort(runs.begin(), runs.end(), isServedBefore);
     for (const std::shared_ptr<RelayRun> &run : std::as_const(runs)) {
         if (run->isWaiting() && !run->tryPlace())
             m_waiting.append(run);
--- a/src/relay/WaitingRequests.h
+++ b/src/relay/WaitingRequests.h
@@ -1,4 +1,3 @@
-// Defines WaitingRequests, the requests of a daemon that no target can take now.
 #pragma once
 
 #include "base/Units.h"
@@ -13,9 +12,10 @@
 class TimerService;
 class TimerSubscription;
 
-/// Each time that room may have come about, tries those first that can still be answered on time;
-/// among them the most urgent, and then those with the shortest answers, of which more are served
-/// with the same memory. The others follow in the order of their arrival.
+/// The queue of requests that no target can take yet. Whenever room may be available, tries the
+/// requests in order: first those that can still be answered on time, by priority and then by
+/// shortest expected output, since the same memory serves more short answers; then the others in
+/// order of arrival.
 /// Thread safety: only from the thread of the event loop.
 class WaitingRequests
 {
@@ -24,9 +24,9 @@
     explicit WaitingRequests(TimerService &timers);
     ~WaitingRequests();
 
-    /// Adds a run, which is tried until it no longer waits.
+    /// Adds a run and tries it until it no longer waits.
     void add(const std::shared_ptr<RelayRun> &run);
-    /// Tries all soon.
+    /// Schedules a pass over all waiting requests.
     void roomChanged();
     int size() const { return int(m_waiting.size()); }
 
@@ -35,7 +35,7 @@
 
     TimerService &m_timers;
     QList<std::weak_ptr<RelayRun>> m_waiting;
-    std::unique_ptr<TimerSubscription> m_soon;
+    std::unique_ptr<TimerSubscription> m_passTimer;
 };
 
 } // namespace cranberry
--- a/test/correctness/MoveChoice.cpp
+++ b/test/correctness/MoveChoice.cpp
@@ -40,7 +40,7 @@
     move.need.tokens = Tokens(held + 500);
     move.need.engine = traits();
     move.held = Tokens(held);
-    move.sourceFree = Now;
+    move.sourceLinkFree = Now;
     return move;
 }
 
@@ -67,7 +67,7 @@
             engines[i].linkFree = knowsLinks ? linkFree[i] : MonotonicTime();
             targets.append(&engines[i]);
         }
-        move.sourceFree = knowsLinks ? sourceFree : MonotonicTime();
+        move.sourceLinkFree = knowsLinks ? sourceFree : MonotonicTime();
         const MovePick pick = chooseDestination(targets, move, Now);
         const std::size_t chosen = std::size_t(targets.indexOf(pick.target));
         const MonotonicTime done = std::max(sourceFree, linkFree[chosen]) + pick.copyTime;
@@ -108,7 +108,7 @@
     const TargetRecord idle = engine("idle", "there", 3000);
     const MovePick pick = chooseDestination({&taken, &idle}, moveOf(3000), Now);
     BOOST_TEST((pick.target == &idle));
-    BOOST_TEST((pick.copied - Now == pick.copyTime));
+    BOOST_TEST((pick.copyDone - Now == pick.copyTime));
 }
 
 BOOST_AUTO_TEST_CASE(SuspectIsTheLastChoice)
@@ -192,8 +192,8 @@
         return copied <= leavesAt + 700ms;
     };
     BOOST_TEST(Evacuation::saved(12, 1660ms, atOnce) == 0);
-    BOOST_TEST(Evacuation::saved(12, 1660ms, isBegunNow) == 7);
+    BOOST_TEST(Evacuation::saved(12, 1660ms, shouldStartCopy) == 7);
     // One that stays longer saves more.
-    BOOST_TEST(Evacuation::saved(12, 2100ms, isBegunNow) == 9);
-    BOOST_TEST(Evacuation::saved(3, 1660ms, isBegunNow) == 3);
+    BOOST_TEST(Evacuation::saved(12, 2100ms, shouldStartCopy) == 9);
+    BOOST_TEST(Evacuation::saved(3, 1660ms, shouldStartCopy) == 3);
 }
--- a/test/correctness/RelayChoices.cpp
+++ b/test/correctness/RelayChoices.cpp
@@ -5,7 +5,7 @@
 #include "relay/OutputForecast.h"
 #include "relay/RelayConfiguration.h"
 #include "relay/RelayRequest.h"
-#include "relay/RetryShare.h"
+#include "relay/RelayRetryBudget.h"
 #include "relay/TargetChoice.h"
 #include "relay/TargetRecord.h"
 
@@ -42,14 +42,14 @@
     need.engine = EngineTraits();
     need.engine->memory = Tokens(10000);
     need.engine->batchSlots = 100;
-    need.distance.away = 0.15;
+    need.distance.otherDataCentre = 0.15;
     return need;
 }
 
 RelayRequest announcing(qint64 tokens)
 {
     RelayRequest request;
-    request.mostOutput = Tokens(1768);
+    request.maxOutput = Tokens(1768);
     request.expectedOutput = Tokens(tokens);
     return request;
 }
@@ -129,7 +129,7 @@
 // left 98 of 355 moves without a retry, though the fleet had used a third of it.
 BOOST_AUTO_TEST_CASE(RetriesOfAFleetAreShared)
 {
-    RetryShare share({0.2, 100, 10s});
+    RelayRetryBudget share({0.2, 100, 10s});
     share.setDaemons(50);
     const auto taken = [&] {
         int count = 0;
@@ -139,17 +139,17 @@
     };
     BOOST_TEST(taken() == 1);
     for (int i = 0; i < 49; ++i)
-        share.heard(VmId(QString::number(i)), Service, {10, 0, Now});
+        share.setPeerCounts(VmId(QString::number(i)), Service, {10, 0, Now});
     BOOST_TEST(taken() > 100);
 }
 
 BOOST_AUTO_TEST_CASE(RetriesKeepTheFleetsBound)
 {
-    RetryShare share({0.2, 20, 10s});
+    RelayRetryBudget share({0.2, 20, 10s});
     share.setDaemons(2);
     for (int i = 0; i < 100; ++i)
         share.countRequest(Service, Now);
-    share.heard(VmId(QStringLiteral("p")), Service, {100, 30, Now});
+    share.setPeerCounts(VmId(QStringLiteral("p")), Service, {100, 30, Now});
     int taken = 0;
     while (share.take(Service, Now, 0))
         ++taken;
@@ -177,7 +177,7 @@
     reading.ownUnread = Tokens(5000);
     TargetNeed need = needOf(1000);
     need.prompt = Tokens(1000);
-    need.readable = Tokens(5000);
+    need.unreadLimit = Tokens(5000);
     BOOST_TEST((chooseTarget({&reading}, need, Now).target == nullptr));
     reading.ownUnread = Tokens(3000);
     BOOST_TEST((chooseTarget({&reading}, need, Now).target == &reading));
@@ -193,7 +193,7 @@
     TargetNeed need = needOf(1000);
     // A generation that moves has no prompt to read and may use it at once.
     BOOST_TEST((chooseTarget({&fresh}, need, Now).target == &fresh));
-    need.readable = Tokens(4000);
+    need.unreadLimit = Tokens(4000);
     BOOST_TEST((chooseTarget({&fresh}, need, Now).target == nullptr));
     BOOST_TEST((chooseTarget({&fresh}, need, Now + 300ms).target == &fresh));
 }
@@ -217,7 +217,7 @@
     const QString route(QStringLiteral("r"));
     const Tokens before = model.expected(route, announcing(400));
     for (int i = 0; i < 40; ++i)
-        model.finished(route, Tokens(40));
+        model.recordAnswer(route, Tokens(40));
     BOOST_TEST((model.expected(route, announcing(400)) < before));
     BOOST_TEST((model.expected(QStringLiteral("other"), announcing(400)) == before));
 }
@@ -227,7 +227,7 @@
     OutputForecast model;
     const QString route(QStringLiteral("r"));
     for (int i = 0; i < 40; ++i)
-        model.finished(route, Tokens(1000000));
+        model.recordAnswer(route, Tokens(1000000));
     BOOST_TEST((model.expected(route, announcing(4000)) == Tokens(1768)));
     BOOST_TEST((model.expected(route, RelayRequest()) == Tokens(1)));
 }
@@ -246,10 +246,10 @@
     QList<const TargetRecord *> targets;
     for (const TargetRecord &record : std::as_const(records))
         targets.append(&record);
-    const auto chosen = [&](int mostAway) {
+    const auto chosen = [&](int maxRemoteCandidates) {
         TargetNeed need = needOf(1000);
-        need.home = need.dataCentre;
-        need.distance.mostAway = mostAway;
+        need.daemonDataCentre = need.dataCentre;
+        need.distance.maxRemoteCandidates = maxRemoteCandidates;
         int count = 0;
         for (int daemon = 0; daemon < Daemons; ++daemon)
             count += chooseTarget(targets, need, Now).target == targets.first() ? 1 : 0;
@@ -268,10 +268,10 @@
     TargetRecord told = engine("told", "there", 6000);
     told.toldByOwner = Now - 1s;
     TargetNeed need = needOf(1000);
-    need.home = need.dataCentre;
-    need.distance.unknown = 1;
+    need.daemonDataCentre = need.dataCentre;
+    need.distance.unreported = 1;
     BOOST_TEST((chooseTarget({&unknown, &told}, need, Now).target == &told));
     BOOST_TEST((chooseTarget({&unknown}, need, Now).target == &unknown));
-    unknown.entry.dataCentre = need.home;
+    unknown.entry.dataCentre = need.daemonDataCentre;
     BOOST_TEST((chooseTarget({&unknown, &told}, need, Now).target == &unknown));
 }
--- a/test/correctness/RoomForecast.cpp
+++ b/test/correctness/RoomForecast.cpp
@@ -80,23 +80,23 @@
 {
     RoomForecast forecast;
     for (int i = 0; i < 1000; ++i)
-        noteHolding(forecast, Tokens(3000), i % 2 == 0 ? 1000ms : 15000ms);
+        recordHolding(forecast, Tokens(3000), i % 2 == 0 ? 1000ms : 15000ms);
     // Half of all end after 1 s, but of the memory 15 parts of 16 are held for 15 s.
-    BOOST_TEST(expectedRoom(forecast).count() > 11500);
+    BOOST_TEST(expectedRoomDelay(forecast).count() > 11500);
 }
 
 BOOST_AUTO_TEST_CASE(ItFollowsWhatIsObserved)
 {
     RoomForecast forecast;
-    const Milliseconds guess = expectedRoom(forecast);
+    const Milliseconds guess = expectedRoomDelay(forecast);
     for (int i = 0; i < 200; ++i)
-        noteHolding(forecast, Tokens(3000), 2000ms);
-    BOOST_TEST((expectedRoom(forecast) < guess));
-    BOOST_TEST(expectedRoom(forecast).count() >= 1950);
-    BOOST_TEST(expectedRoom(forecast).count() <= 2050);
+        recordHolding(forecast, Tokens(3000), 2000ms);
+    BOOST_TEST((expectedRoomDelay(forecast) < guess));
+    BOOST_TEST(expectedRoomDelay(forecast).count() >= 1950);
+    BOOST_TEST(expectedRoomDelay(forecast).count() <= 2050);
     for (int i = 0; i < 200; ++i)
-        noteHolding(forecast, Tokens(3000), 10000ms);
-    BOOST_TEST(expectedRoom(forecast).count() > 9000);
+        recordHolding(forecast, Tokens(3000), 10000ms);
+    BOOST_TEST(expectedRoomDelay(forecast).count() > 9000);
 }
 
 // Engines were full for half a minute and callers waited six seconds for room. Most of them were
@@ -107,8 +107,8 @@
 {
     RoomForecast forecast;
     for (int i = 0; i < 100; ++i)
-        noteHolding(forecast, Tokens(3000), Milliseconds(Overload::Generation));
-    const int comeBack = int(expectedRoom(forecast).count());
+        recordHolding(forecast, Tokens(3000), Milliseconds(Overload::Generation));
+    const int comeBack = int(expectedRoomDelay(forecast).count());
     Overload overload;
     const int returning = overload.served(Overload::Objective, comeBack);
     BOOST_TEST_MESSAGE("whole: " << returning << ", waiting " << overload.served(6000, 600)
--- a/test/support/LoadFleet.h
+++ b/test/support/LoadFleet.h
@@ -8,7 +8,7 @@
 #include "relay/PeerDatagrams.h"
 #include "relay/PeerDirectory.h"
 #include "relay/RelayCounters.h"
-#include "relay/RetryShare.h"
+#include "relay/RelayRetryBudget.h"
 #include "relay/StoreProtocol.h"
 #include "relay/TargetDirectory.h"
 
@@ -25,7 +25,7 @@
     StoreProtocol protocol;
     RelayCounters counters;
     TargetDirectory targets;
-    RetryShare retries{RetryLimits()};
+    RelayRetryBudget retries{RetryLimits()};
     PeerDirectory peers;
     PeerDatagrams datagrams;
     DataCentreHeads heads;
