--- a/src/relay/RelayCounters.h
+++ b/src/relay/RelayCounters.h
@@ -42,7 +42,7 @@
     /// Delay of the periodic engine check past its due time; grows when the event loop is starved
     /// of CPU time.
     LatencyHistogram timerLateness;
-    /// Target entries that could not be parsed.
+    /// Target entries that could not be parsed because another program wrote them.
     qint64 unreadableEntries = 0;
 
     KindCounters &of(RequestKind kind) { return kinds[std::size_t(kind)]; }
--- a/src/relay/RoomForecast.cpp
+++ b/src/relay/RoomForecast.cpp
@@ -12,7 +12,7 @@
 /// Used until a generation has ended.
 constexpr Milliseconds InitialDelay{8000};
 constexpr Milliseconds MinDelay{600};
-/// Callers ignore a delay of more than a third of their remaining time.
+/// Callers wait for at most a third of their remaining time.
 constexpr Milliseconds MaxDelay{12000};
 
 } // namespace
