--- a/src/relay/CompressedItemsCache.h
+++ b/src/relay/CompressedItemsCache.h
@@ -1,4 +1,3 @@
-// Defines CompressedItemsCache, which holds the most recent result of compressing store items.
 #pragma once
 
 #include "base/Ids.h"
@@ -8,6 +7,7 @@
 
 namespace cranberry {
 
+/// The most recent result of compressing store items.
 struct CompressedItemsCache {
     /// The revisions of the compressed items, by key.
     QHash<QString, Revision> revisions;
--- a/src/relay/EngineReport.h
+++ b/src/relay/EngineReport.h
@@ -1,4 +1,3 @@
-// Defines EngineReport, an engine's load as it reports it with some lag.
 #pragma once
 
 #include "base/Units.h"
@@ -7,16 +6,17 @@
 
 namespace cranberry {
 
+/// An engine's load as the engine reports it, with some delay.
 struct EngineReport {
     int queued = 0;
     int running = 0;
-    /// Memory that cannot yield.
+    /// Key-value cache memory that the engine cannot reclaim. It frees the rest on demand.
     Tokens used;
     Tokens total;
-    /// It leaves after this time.
+    /// The time until the engine leaves.
     std::optional<Milliseconds> leavesIn;
     bool isLeaving = false;
-    /// The start that reports; unset if engines do not say.
+    /// The start of the engine that reports; unset if engines do not say.
     std::optional<Incarnation> incarnation;
 };
 
--- a/src/relay/EngineReports.cpp
+++ b/src/relay/EngineReports.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-/// A report takes a round trip, under 5 ms in the region. A request waits no longer for it than
-/// this, about 3% of the time to its first event.
+/// A report takes a round trip, under 5 ms in the region. A request waits for it at most this long,
+/// about 3% of the time to its first event.
 constexpr Milliseconds ReportTimeout{50};
 constexpr int StatusOk = 200;
 
 } // namespace
 
-/// Requests that wait for some reports; called back once.
+/// A request that waits for reports; called back once.
 struct EngineReports::Waiter {
     int missing = 0;
     Done done;
 };
 
-struct EngineReports::Question {
+struct EngineReports::Query {
     std::unique_ptr<HttpExchange> exchange;
     QList<std::shared_ptr<Waiter>> waiters;
 };
@@ -42,21 +42,21 @@
 
 EngineReports::~EngineReports() = default;
 
-bool EngineReports::isFresh(const TargetId &target, Milliseconds freshFor) const
+bool EngineReports::isFresh(const TargetId &target, Milliseconds maxAge) const
 {
     const TargetRecord *record = m_targets.find(target);
-    return !record || (record->report && m_timers.now() - record->reportedAt <= freshFor);
+    return !record || (record->report && m_timers.now() - record->reportedAt <= maxAge);
 }
 
-void EngineReports::refresh(const QList<TargetId> &targets, Milliseconds freshFor, Done done)
+void EngineReports::refresh(const QList<TargetId> &targets, Milliseconds maxAge, Done done)
 {
     const auto waiter = std::make_shared<Waiter>();
     for (const TargetId &target : targets) {
-        if (isFresh(target, freshFor))
+        if (isFresh(target, maxAge))
             continue;
-        if (!m_questions.contains(target))
-            ask(target);
-        m_questions[target]->waiters.append(waiter);
+        if (!m_queries.contains(target))
+            sendQuery(target);
+        m_queries[target]->waiters.append(waiter);
         ++waiter->missing;
     }
     if (waiter->missing == 0)
@@ -65,36 +65,36 @@
         waiter->done = std::move(done);
 }
 
-void EngineReports::ask(const TargetId &target)
+void EngineReports::sendQuery(const TargetId &target)
 {
-    const auto question = std::make_shared<Question>();
-    m_questions.insert(target, question);
+    const auto query = std::make_shared<Query>();
+    m_queries.insert(target, query);
     ++m_counters.reportsAsked;
     HttpExchangeOptions options;
     options.connectTimeout = ReportTimeout;
     options.timeout = ReportTimeout;
     options.reuseConnection = true;
-    question->exchange = m_client.fetch(
+    query->exchange = m_client.fetch(
         m_targets.find(target)->entry.endpoint, m_protocol.report(), options,
         [this, target](HttpExchangeEnd end, const HttpResponse &response) {
             const bool isWhole = end == HttpExchangeEnd::Complete && response.status == StatusOk;
             const Result<EngineReport> report =
                 isWhole ? m_protocol.readReport(response) : Result<EngineReport>(Error());
             if (report)
-                m_targets.reported(target, report.value());
+                m_targets.recordReport(target, report.value());
             else
                 logEvent(LogLevel::Debug, EventId::ReportMissing,
                          {{"target", target.text()}, {"status", QString::number(response.status)}});
-            answered(target);
+            finishQuery(target);
         });
 }
 
-void EngineReports::answered(const TargetId &target)
+void EngineReports::finishQuery(const TargetId &target)
 {
-    const std::shared_ptr<Question> question = m_questions.take(target);
-    if (!question)
+    const std::shared_ptr<Query> query = m_queries.take(target);
+    if (!query)
         return;
-    for (const std::shared_ptr<Waiter> &waiter : std::as_const(question->waiters)) {
+    for (const std::shared_ptr<Waiter> &waiter : std::as_const(query->waiters)) {
         if (--waiter->missing == 0)
             waiter->done();
     }
--- a/src/relay/EngineReports.h
+++ b/src/relay/EngineReports.h
@@ -1,4 +1,3 @@
-// Defines EngineReports, which asks engines for their load when a request needs it.
 #pragma once
 
 #include "base/Ids.h"
@@ -20,8 +19,9 @@
 struct RelayCounters;
 struct TargetProtocol;
 
-/// Asks only for the few targets that a request may go to: the number of questions grows with
-/// the requests, not with daemons times targets.
+/// Queries engines for their load when a request needs it, and only the few targets that the
+/// request may go to: the number of queries grows with the requests, not with daemons times
+/// targets.
 /// Thread safety: only from the thread of the event loop.
 class EngineReports
 {
@@ -33,24 +33,24 @@
                   const TargetProtocol &protocol, RelayCounters &counters);
     ~EngineReports();
 
-    /// Calls @p done, later or at once, when each of @p targets has a report no older than
-    /// @p freshFor or none came in time.
-    void refresh(const QList<TargetId> &targets, Milliseconds freshFor, Done done);
+    /// Calls @p done, immediately or later, when for each of @p targets there is a report no older
+    /// than @p maxAge or the query has failed.
+    void refresh(const QList<TargetId> &targets, Milliseconds maxAge, Done done);
 
 private:
-    struct Question;
+    struct Query;
     struct Waiter;
 
-    bool isFresh(const TargetId &target, Milliseconds freshFor) const;
-    void ask(const TargetId &target);
-    void answered(const TargetId &target);
+    bool isFresh(const TargetId &target, Milliseconds maxAge) const;
+    void sendQuery(const TargetId &target);
+    void finishQuery(const TargetId &target);
 
     TimerService &m_timers;
     HttpClient &m_client;
     TargetDirectory &m_targets;
     const TargetProtocol &m_protocol;
     RelayCounters &m_counters;
-    QHash<TargetId, std::shared_ptr<Question>> m_questions;
+    QHash<TargetId, std::shared_ptr<Query>> m_queries;
 };
 
 } // namespace cranberry
--- a/src/relay/FeedMessage.cpp
+++ b/src/relay/FeedMessage.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Bytes of items in one datagram before they are compressed, to a third or less.
-constexpr qsizetype MostBytes = 3000;
+/// Maximum size of the items of one datagram before compression, which reduces it to a third or
+/// less.
+constexpr qsizetype MaxUncompressedBytes = 3000;
 
 } // namespace
 
@@ -26,12 +27,12 @@
     QList<FeedMessage> parts;
     FeedMessage part = message;
     part.items.clear();
-    // Only what comes with the last part makes the receiver as fresh as the sender.
+    // Only the last part makes the receiver as fresh as the sender.
     part.targetsAge = UnknownAge;
     qsizetype bytes = 0;
     Revision last = message.base;
     for (const StoreItem &item : message.items) {
-        if (bytes > 0 && bytes + item.value.size() > MostBytes) {
+        if (bytes > 0 && bytes + item.value.size() > MaxUncompressedBytes) {
             part.upTo = last;
             parts.append(part);
             part.base = last;
@@ -48,33 +49,33 @@
     return parts;
 }
 
-QCborArray encodeFeed(const FeedMessage &message)
+QCborArray encodeFeedMessage(const FeedMessage &message)
 {
-    return {int(message.standing),
+    return {int(message.role),
             message.base.value(),
             message.upTo.value(),
             compressItems(message.items),
-            message.configuration.value(),
-            message.targets,
+            message.configurationRevision.value(),
+            message.targetCount,
             qint64(message.configurationAge.count()),
             qint64(message.targetsAge.count())};
 }
 
-std::optional<FeedMessage> decodeFeed(const QCborArray &body)
+std::optional<FeedMessage> decodeFeedMessage(const QCborArray &body)
 {
-    const qint64 standing = body.at(0).toInteger(-1);
+    const qint64 role = body.at(0).toInteger(-1);
     const bool isKnown =
-        standing >= qint64(FeedStanding::Away) && standing <= qint64(FeedStanding::PassesOn);
+        role >= qint64(FeedRole::Disconnected) && role <= qint64(FeedRole::Forwarder);
     const std::optional<QList<StoreItem>> items = decompressItems(body.at(3).toByteArray());
     if (!isKnown || !items)
         return std::nullopt;
     FeedMessage message;
-    message.standing = FeedStanding(standing);
+    message.role = FeedRole(role);
     message.base = Revision(body.at(1).toInteger());
     message.upTo = Revision(body.at(2).toInteger());
     message.items = *items;
-    message.configuration = Revision(body.at(4).toInteger());
-    message.targets = body.at(5).toInteger();
+    message.configurationRevision = Revision(body.at(4).toInteger());
+    message.targetCount = body.at(5).toInteger();
     message.configurationAge = decodeAge(body.at(6));
     message.targetsAge = decodeAge(body.at(7));
     return message;
--- a/src/relay/FeedMessage.h
+++ b/src/relay/FeedMessage.h
@@ -1,4 +1,3 @@
-// Defines FeedMessage, what daemons that hear of the platform's store tell the others.
 #pragma once
 
 #include "base/Units.h"
@@ -12,44 +11,47 @@
 
 namespace cranberry {
 
-/// How the sender of a message hears of the store.
-enum class FeedStanding {
-    /// It has lost the store and hears of nobody who has it.
-    Away,
+/// How the sender of a message receives the changes of the store.
+enum class FeedRole {
+    /// It has lost the store and hears from no daemon that has access to it.
+    Disconnected,
     /// It watches the store itself.
-    Watches,
-    /// It passes on what another one watches.
-    PassesOn,
+    Watcher,
+    /// It forwards what another daemon watches.
+    Forwarder,
 };
 
-/// Without items it is a heartbeat.
+/// A message in which a daemon that receives the changes of the platform's store sends them to
+/// others. A message without items is a heartbeat.
 struct FeedMessage {
-    FeedStanding standing = FeedStanding::Away;
-    /// The items are the changes of targets after this revision, up to the other one.
+    FeedRole role = FeedRole::Disconnected;
+    /// The items are the changes of targets after revision base, up to revision upTo.
     Revision base;
     Revision upTo;
     QList<StoreItem> items;
-    /// The revision that a copy of the configuration must have reached to be confirmed by this one.
-    Revision configuration;
-    /// So long ago the configuration of the sender was last confirmed.
+    /// The revision that a copy of the configuration must have reached to be confirmed by this
+    /// message.
+    Revision configurationRevision;
+    /// The time since the sender's configuration was last confirmed.
     Milliseconds configurationAge = UnknownAge;
-    /// Targets that it knows.
-    qint64 targets = 0;
-    /// All changes of targets until so long ago are among those up to upTo.
+    /// The number of targets that the sender knows.
+    qint64 targetCount = 0;
+    /// The changes up to upTo include all changes of targets until this long ago.
     Milliseconds targetsAge = UnknownAge;
 };
 
-/// Messages that each fit a datagram and together say what @p message says; one for a heartbeat.
-/// Thread-safe.
+/// Splits @p message into messages that each fit a datagram. Returns a single message for a
+/// heartbeat. Thread-safe.
 QList<FeedMessage> splitForDatagrams(const FeedMessage &message);
 
-/// Items are compressed: entries of targets repeat the names of their fields. Thread-safe.
-QCborArray encodeFeed(const FeedMessage &message);
+/// Encodes @p message. The items are compressed, as entries of targets repeat their field names.
+/// Thread-safe.
+QCborArray encodeFeedMessage(const FeedMessage &message);
 
-/// None if it is no such message, or a damaged one. Thread-safe.
-std::optional<FeedMessage> decodeFeed(const QCborArray &body);
+/// Decodes a message. Returns nullopt if @p body is not a feed message or is corrupt. Thread-safe.
+std::optional<FeedMessage> decodeFeedMessage(const QCborArray &body);
 
-/// An age as another daemon tells it; UnknownAge if it tells none. Thread-safe.
+/// Decodes an age that another daemon sent; UnknownAge if @p value holds none. Thread-safe.
 Milliseconds decodeAge(const QCborValue &value);
 
 } // namespace cranberry
--- a/src/relay/FeedPlan.cpp
+++ b/src/relay/FeedPlan.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-/// Hundreds of daemons are spread over this time; with a heartbeat and a question to a peer it
-/// stays under a second and a half.
-constexpr Milliseconds FirstProbe{600};
-/// Between further tries, by the mean: the heads try all the while.
-constexpr Milliseconds FurtherProbe{4000};
+/// The first probes of hundreds of daemons are spread over this time. With a heartbeat and a
+/// request to a peer, the total stays under 1.5 s.
+constexpr Milliseconds MaxFirstProbeDelay{600};
+/// Mean interval of further probes. The heads keep trying in the meantime.
+constexpr Milliseconds MeanProbeInterval{4000};
 
 } // namespace
 
 bool isGroupHead(const FeedView &view)
 {
-    return view.hasGroup && view.rankInGroup < Watchers;
+    return view.hasGroup && view.rankInGroup < WatcherCount;
 }
 
 bool watchesStore(const FeedView &view)
@@ -23,16 +23,16 @@
         return true;
     if (!isGroupHead(view))
         return false;
-    if (view.isTurnedAway && view.watchers > 0)
+    if (view.isRejectedByStore && view.watchers > 0)
         return false;
-    return view.watchersBefore < Watchers;
+    return view.watchersBefore < WatcherCount;
 }
 
-Milliseconds probeDelay(bool wasRefused, double draw)
+Milliseconds probeDelay(bool wasRefused, double randomFraction)
 {
     const std::chrono::duration<double, std::milli> delay = wasRefused
-        ? std::chrono::duration<double, std::milli>(FurtherProbe) * (0.5 + draw)
-        : std::chrono::duration<double, std::milli>(FirstProbe) * draw;
+        ? std::chrono::duration<double, std::milli>(MeanProbeInterval) * (0.5 + randomFraction)
+        : std::chrono::duration<double, std::milli>(MaxFirstProbeDelay) * randomFraction;
     return std::chrono::duration_cast<Milliseconds>(delay);
 }
 
--- a/src/relay/GenerationMove.cpp
+++ b/src/relay/GenerationMove.cpp
@@ -104,7 +104,7 @@
         return BetweenRounds;
     // Behind the first copies of others a round would not be short.
     const MonotonicTime now = m_context.timers.now();
-    const MonotonicTime next = std::min(source->linkFree, source->leavesAt - LastMoment);
+    const MonotonicTime next = std::min(source->linkFreeAt, source->leavesAt - LastMoment);
     return std::max(BetweenRounds, std::chrono::duration_cast<Milliseconds>(next - now));
 }
 
--- a/src/relay/LoadExchange.cpp
+++ b/src/relay/LoadExchange.cpp
@@ -15,20 +15,22 @@
 
 namespace {
 
-/// Changes within this time go out together: what is placed soon, as others choose meanwhile, what
-/// has ended later.
+/// Changes within this time are sent together: placements soon, as other daemons choose in the
+/// meantime, and ends later.
 constexpr Milliseconds PlacedDelay{10};
 constexpr Milliseconds EndedDelay{100};
-/// Figures are repeated this often, so that a lost datagram misleads no longer than that.
+/// The totals are repeated at this interval, which limits how long a lost datagram misleads.
 constexpr Milliseconds RefreshInterval{1500};
-/// What is at the engines of a data centre goes to the others this often. Without it the
+/// The load at the engines of a data centre is sent to the others at this interval. Without it the
 /// engines of another data centre look empty, and moves choose them in vain.
 constexpr Milliseconds SummaryInterval{500};
-/// Targets in one datagram: about 35 bytes each, together under the 1,400 that any path carries.
-constexpr qsizetype MostEntries = 30;
-/// Engines of a data centre that others hear of, the emptiest ones: two datagrams. Others place
-/// there seldom, and all engines of a large fleet would be tens of KB a second for each daemon.
-constexpr qsizetype MostSummarised = 2 * MostEntries;
+/// Maximum number of targets in one datagram: with about 35 bytes each they stay below the 1,400
+/// bytes that every path carries.
+constexpr qsizetype MaxDatagramEntries = 30;
+/// Maximum number of a data centre's engines that are reported to others, those with the least
+/// load: two datagrams. Others rarely place there, and all engines of a large fleet would cost each
+/// daemon tens of KB a second.
+constexpr qsizetype MaxSummarisedTargets = 2 * MaxDatagramEntries;
 
 } // namespace
 
@@ -40,14 +42,15 @@
     , m_datagrams(datagrams)
     , m_targets(targets)
     , m_retries(retries)
-    , m_refresh(timers.every(RefreshInterval, [this] { refresh(); }))
-    , m_summary(timers.every(SummaryInterval, [this] { summarise(); }))
+    , m_refreshTimer(timers.every(RefreshInterval, [this] { refresh(); }))
+    , m_summaryTimer(timers.every(SummaryInterval, [this] { summarise(); }))
 {
     datagrams.onMessage(DatagramKind::Summary, [this](const Peer &from, const QCborArray &rows) {
-        takeSummary(from, rows);
+        applySummary(from, rows);
+    });
+    datagrams.onMessage(DatagramKind::Load, [this](const Peer &from, const QCborArray &body) {
+        handleLoads(from, body);
     });
-    datagrams.onMessage(DatagramKind::Load,
-                        [this](const Peer &from, const QCborArray &body) { take(from, body); });
 }
 
 LoadExchange::~LoadExchange() = default;
@@ -57,20 +60,20 @@
     m_datagrams.send(peers, DatagramKind::Load, QCborArray{QCborArray(), QCborArray()});
 }
 
-void LoadExchange::changed(const TargetId &target, bool isMore)
+void LoadExchange::handleLoadChange(const TargetId &target, bool isIncrease)
 {
     const TargetRecord *record = m_targets.find(target);
     if (!record || !m_hasEngine(record->entry.service))
         return;
     m_changed.insert(target);
-    const Milliseconds delay = isMore ? PlacedDelay : EndedDelay;
+    const Milliseconds delay = isIncrease ? PlacedDelay : EndedDelay;
     const MonotonicTime due = m_timers.now() + delay;
-    if (m_soon && m_due <= due)
+    if (m_sendTimer && m_due <= due)
         return;
     m_due = due;
-    m_soon = m_timers.after(delay, [this] {
-        m_soon.reset();
-        tell(std::exchange(m_changed, {}), {});
+    m_sendTimer = m_timers.after(delay, [this] {
+        m_sendTimer.reset();
+        sendLoads(std::exchange(m_changed, {}), {});
     });
 }
 
@@ -78,12 +81,12 @@
 {
     m_retries.setDaemons(m_peers.fleetSize());
     QSet<TargetId> targets;
-    for (const TargetId &target : m_targets.usedByThisDaemon()) {
+    for (const TargetId &target : m_targets.targetsInUse()) {
         const TargetRecord *record = m_targets.find(target);
         if (record && m_hasEngine(record->entry.service))
             targets.insert(target);
     }
-    tell(targets, retryCounts());
+    sendLoads(targets, retryCounts());
 }
 
 QCborArray LoadExchange::loadsOf(const QSet<TargetId> &targets) const
@@ -91,7 +94,7 @@
     QCborArray loads;
     for (const TargetId &target : targets) {
         const TargetRecord *record = m_targets.find(target);
-        if (record && loads.size() < MostEntries)
+        if (record && loads.size() < MaxDatagramEntries)
             loads.append(QCborArray{target.text(), record->ownRunning, record->ownTokens.value(),
                                     record->ownUnread.value(), record->ownBackup.value()});
     }
@@ -107,15 +110,16 @@
     return rows;
 }
 
-void LoadExchange::tell(const QSet<TargetId> &targets, const QCborArray &counts)
+void LoadExchange::sendLoads(const QSet<TargetId> &targets, const QCborArray &counts)
 {
-    m_datagrams.send(m_peers.audience(), DatagramKind::Load, QCborArray{loadsOf(targets), counts});
-    tellOwners(targets);
+    m_datagrams.send(m_peers.directReceivers(), DatagramKind::Load,
+                     QCborArray{loadsOf(targets), counts});
+    sendToOwners(targets);
 }
 
-void LoadExchange::tellOwners(const QSet<TargetId> &targets)
+void LoadExchange::sendToOwners(const QSet<TargetId> &targets)
 {
-    // The daemons of the target's own data centre use it most, and must not wait for the sum.
+    // The daemons of the target's own data centre use it most, and must not wait for the summary.
     if (m_peers.isSmallFleet())
         return;
     QHash<DataCentreId, QSet<TargetId>> foreign;
@@ -125,16 +129,16 @@
             foreign[record->entry.dataCentre].insert(target);
     }
     for (auto entry = foreign.cbegin(); entry != foreign.cend(); ++entry)
-        m_heads.tell(entry.key(), DatagramKind::Load,
-                     QCborArray{loadsOf(entry.value()), QCborArray()});
+        m_heads.sendTo(entry.key(), DatagramKind::Load,
+                       QCborArray{loadsOf(entry.value()), QCborArray()});
 }
 
 void LoadExchange::summarise()
 {
-    if (m_peers.isSmallFleet() || m_peers.rankNearby() > 0)
+    if (m_peers.isSmallFleet() || m_peers.localRank() > 0)
         return;
     const QList<TargetId> targets =
-        m_targets.emptiest(m_peers.self().dataCentre, m_hasEngine, MostSummarised);
+        m_targets.leastLoaded(m_peers.self().dataCentre, m_hasEngine, MaxSummarisedTargets);
     for (const DataCentreId &receiver : m_peers.otherDataCentres())
         sendSummary(receiver, targets);
 }
@@ -143,31 +147,32 @@
 {
     QCborArray rows;
     for (const TargetId &target : targets) {
-        // The receivers know themselves what their own data centre has there.
-        const PeerLoad load = m_targets.loadWithout(target, receiver);
+        // The receivers know the load of their own data centre.
+        const PeerLoad load = m_targets.loadExcluding(target, receiver);
         rows.append(QCborArray{target.text(), load.running, load.tokens.value(),
                                load.unread.value(), load.backup.value()});
-        if (rows.size() < MostEntries)
+        if (rows.size() < MaxDatagramEntries)
             continue;
-        m_heads.tell(receiver, DatagramKind::Summary, rows);
+        m_heads.sendTo(receiver, DatagramKind::Summary, rows);
         rows = QCborArray();
     }
     if (!rows.isEmpty())
-        m_heads.tell(receiver, DatagramKind::Summary, rows);
+        m_heads.sendTo(receiver, DatagramKind::Summary, rows);
 }
 
-void LoadExchange::takeSummary(const Peer &from, const QCborArray &rows)
+void LoadExchange::applySummary(const Peer &from, const QCborArray &rows)
 {
-    // Kept under the name of the data centre, beside the loads of single daemons of the own one.
+    // Stored under the name of the data centre, beside the loads of the single daemons of this
+    // daemon's own one.
     const VmId origin(QStringLiteral("data centre ") + from.dataCentre.text());
     for (const QCborValue value : rows) {
-        takeLoad(origin, from.dataCentre, value.toArray());
-        m_targets.toldByOwner(TargetId(value.toArray().at(0).toString()));
+        applyLoad(origin, from.dataCentre, value.toArray());
+        m_targets.recordOwnerReport(TargetId(value.toArray().at(0).toString()));
     }
 }
 
-void LoadExchange::takeLoad(const VmId &origin, const DataCentreId &dataCentre,
-                            const QCborArray &row)
+void LoadExchange::applyLoad(const VmId &origin, const DataCentreId &dataCentre,
+                             const QCborArray &row)
 {
     PeerLoad load;
     load.dataCentre = dataCentre;
@@ -175,16 +180,16 @@
     load.tokens = Tokens(row.at(2).toInteger());
     load.unread = Tokens(row.at(3).toInteger());
     load.backup = Tokens(row.at(4).toInteger());
-    load.heard = m_timers.now();
-    m_targets.peerLoad(TargetId(row.at(0).toString()), origin, load);
+    load.heardAt = m_timers.now();
+    m_targets.setPeerLoad(TargetId(row.at(0).toString()), origin, load);
 }
 
-void LoadExchange::take(const Peer &peer, const QCborArray &body)
+void LoadExchange::handleLoads(const Peer &peer, const QCborArray &body)
 {
     const MonotonicTime now = m_timers.now();
     const QCborArray loads = body.at(0).toArray();
     for (const QCborValue value : loads)
-        takeLoad(peer.vm, peer.dataCentre, value.toArray());
+        applyLoad(peer.vm, peer.dataCentre, value.toArray());
     for (const QCborValue value : body.at(1).toArray()) {
         const QCborArray row = value.toArray();
         m_retries.heard(peer.vm, ServiceId(row.at(0).toString()),
--- a/src/relay/LoadExchange.h
+++ b/src/relay/LoadExchange.h
@@ -1,4 +1,3 @@
-// Defines LoadExchange, by which daemons tell each other what they have placed where.
 #pragma once
 
 #include "base/Ids.h"
@@ -25,18 +24,19 @@
 struct Peer;
 struct PeerLoad;
 
+/// Sends the load that this daemon has placed at targets to the other daemons, and receives theirs.
 /// Engines report their load half a second late, and in that time many daemons would choose the
-/// same one. So each daemon tells the others what it has at each engine, in datagrams: whole
-/// figures and not changes, so that a lost one is mended by the next. They go to all in a small
-/// fleet. In a large one they go to the daemons of the same data centre; what is placed in another
-/// one is told to its head, and the first head of each data centre tells the heads of the others
-/// what is at its own engines. Heads pass on what they hear. Nothing depends on it but how well
-/// requests are spread.
+/// same engine. Therefore each daemon sends its load at each engine to the others, in datagrams and
+/// as totals instead of changes, so that the next datagram corrects a lost one. In a small fleet
+/// they go to all daemons. In a large fleet they go to the daemons of the same data centre. Load at
+/// an engine of another data centre is sent to the head there, and the first head of each data
+/// centre sends the heads of the others the load at its own engines. Heads forward what they
+/// receive. Only the balance of requests depends on these messages.
 /// Thread safety: only from the thread of the event loop.
 class LoadExchange
 {
 public:
-    /// Tells whether a service has engines; plain services' loads are not shared.
+    /// Returns whether a service has engines. The loads of plain services are not shared.
     using HasEngine = std::function<bool(const ServiceId &service)>;
 
     /// Precondition: everything passed outlives the exchange.
@@ -45,22 +45,22 @@
     ~LoadExchange();
 
     void setHasEngine(HasEngine hasEngine) { m_hasEngine = std::move(hasEngine); }
-    /// Says to @p peers that this daemon is there.
+    /// Announces this daemon to @p peers.
     void sendHello(const QList<Peer> &peers);
-    /// What this daemon has at @p target has changed; @p isMore: something was placed.
-    void changed(const TargetId &target, bool isMore);
+    /// Handles a change of this daemon's load at @p target. @p isIncrease: something was placed.
+    void handleLoadChange(const TargetId &target, bool isIncrease);
 
 private:
     QCborArray loadsOf(const QSet<TargetId> &targets) const;
     QCborArray retryCounts();
     void refresh();
-    void tell(const QSet<TargetId> &targets, const QCborArray &counts);
-    void tellOwners(const QSet<TargetId> &targets);
+    void sendLoads(const QSet<TargetId> &targets, const QCborArray &counts);
+    void sendToOwners(const QSet<TargetId> &targets);
     void summarise();
     void sendSummary(const DataCentreId &receiver, const QList<TargetId> &targets);
-    void takeSummary(const Peer &from, const QCborArray &rows);
-    void takeLoad(const VmId &origin, const DataCentreId &dataCentre, const QCborArray &row);
-    void take(const Peer &peer, const QCborArray &body);
+    void applySummary(const Peer &from, const QCborArray &rows);
+    void applyLoad(const VmId &origin, const DataCentreId &dataCentre, const QCborArray &row);
+    void handleLoads(const Peer &peer, const QCborArray &body);
 
     TimerService &m_timers;
     PeerDirectory &m_peers;
@@ -71,9 +71,9 @@
     HasEngine m_hasEngine = [](const ServiceId &) { return true; };
     QSet<TargetId> m_changed;
     MonotonicTime m_due;
-    std::unique_ptr<TimerSubscription> m_soon;
-    std::unique_ptr<TimerSubscription> m_refresh;
-    std::unique_ptr<TimerSubscription> m_summary;
+    std::unique_ptr<TimerSubscription> m_sendTimer;
+    std::unique_ptr<TimerSubscription> m_refreshTimer;
+    std::unique_ptr<TimerSubscription> m_summaryTimer;
 };
 
 } // namespace cranberry
--- a/src/relay/MoveChoice.cpp
+++ b/src/relay/MoveChoice.cpp
@@ -21,7 +21,7 @@
                        MonotonicTime now)
 {
     // A copy begins when both links are free, and keeps both from others until it ends.
-    return std::max({now, move.sourceFree, target.linkFree}) + duration;
+    return std::max({now, move.sourceFree, target.linkFreeAt}) + duration;
 }
 
 /// An engine may go later than the least notice says.
@@ -47,9 +47,9 @@
 
 Milliseconds copyTime(const EngineTraits &engine, Tokens held, bool isAcross)
 {
-    const bool isKnown = engine.bytesPerToken.value() > 0 && engine.linkMegabits > 0;
+    const bool isKnown = engine.bytesPerToken.value() > 0 && engine.linkMegabitsPerSecond > 0;
     const double perToken = isKnown
-        ? double(engine.bytesPerToken.value()) * 8 / (engine.linkMegabits * 1000)
+        ? double(engine.bytesPerToken.value()) * 8 / (engine.linkMegabitsPerSecond * 1000)
         : UnknownMillisecondsPerToken;
     return Milliseconds(qint64(perToken * double(held.value()) * (isAcross ? AcrossFactor : 1)));
 }
--- a/src/relay/Peer.h
+++ b/src/relay/Peer.h
@@ -1,4 +1,3 @@
-// Defines Peer, another daemon of the fleet.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,20 +6,21 @@
 
 namespace cranberry {
 
+/// Another daemon of the fleet.
 struct Peer {
     VmId vm;
     DataCentreId dataCentre;
-    /// Where it takes datagrams and answers other daemons.
+    /// Where the daemon receives datagrams and serves requests of other daemons.
     HttpEndpoint endpoint;
-    /// When it was first heard of.
-    MonotonicTime since;
-    /// When the store last listed it or it was last heard.
-    MonotonicTime seen;
-    /// When a message of it last came.
-    MonotonicTime heard;
-    /// Version of the configuration that it has.
-    qint64 version = 0;
-    /// It is about to end and represents nobody any more.
+    /// When the daemon was first listed or heard.
+    MonotonicTime firstSeen;
+    /// When the store last listed the daemon, or a message of it last arrived.
+    MonotonicTime lastSeen;
+    /// When a message of the daemon last arrived.
+    MonotonicTime lastMessage;
+    /// The version of the configuration in force at the daemon.
+    qint64 configurationVersion = 0;
+    /// The daemon is about to end and no longer acts for others.
     bool isDraining = false;
 };
 
--- a/src/relay/PeerDatagrams.cpp
+++ b/src/relay/PeerDatagrams.cpp
@@ -9,9 +9,9 @@
 
 namespace cranberry {
 
-bool isKind(qint64 kind)
+bool isDatagramKind(qint64 kind)
 {
-    return kind >= 0 && kind < qint64(DatagramKinds);
+    return kind >= 0 && kind < qint64(DatagramKindCount);
 }
 
 PeerDatagrams::PeerDatagrams(PeerDirectory &peers)
@@ -25,15 +25,15 @@
 {
     m_socket = std::make_unique<QUdpSocket>();
     QObject::connect(m_socket.get(), &QUdpSocket::readyRead, m_socket.get(),
-                     [this] { received(); });
+                     [this] { readDatagrams(); });
     return m_socket->bind(QHostAddress(endpoint.address), endpoint.port);
 }
 
-void PeerDatagrams::compareVersions(std::function<qint64()> version,
-                                    std::function<void(const Peer &from, qint64 version)> newer)
+void PeerDatagrams::setVersionCallbacks(std::function<qint64()> version,
+                                        std::function<void(const Peer &from, qint64 version)> newer)
 {
     m_version = std::move(version);
-    m_newer = std::move(newer);
+    m_onNewerVersion = std::move(newer);
 }
 
 void PeerDatagrams::onMessage(DatagramKind kind, Handler handler)
@@ -53,7 +53,7 @@
         m_socket->writeDatagram(datagram, QHostAddress(peer.endpoint.address), peer.endpoint.port);
 }
 
-void PeerDatagrams::received()
+void PeerDatagrams::readDatagrams()
 {
     while (m_socket->hasPendingDatagrams()) {
         const QNetworkDatagram datagram = m_socket->receiveDatagram();
@@ -61,18 +61,18 @@
         Peer peer;
         peer.vm = VmId(message.at(0).toString());
         peer.dataCentre = DataCentreId(message.at(1).toString());
-        peer.version = message.at(4).toInteger();
+        peer.configurationVersion = message.at(4).toInteger();
         peer.isDraining = message.at(5).toBool();
         peer.endpoint = {datagram.senderAddress().toString(), quint16(datagram.senderPort())};
         const qint64 kind = message.at(2).toInteger(-1);
-        if (!isKind(kind) || peer.vm.isEmpty()) {
+        if (!isDatagramKind(kind) || peer.vm.isEmpty()) {
             logEvent(LogLevel::Warning, EventId::PeerFrameInvalid,
                      {{"from", peer.endpoint.address}});
             continue;
         }
-        m_peers.heard(peer);
-        if (m_newer && peer.version > m_version())
-            m_newer(peer, peer.version);
+        m_peers.recordMessage(peer);
+        if (m_onNewerVersion && peer.configurationVersion > m_version())
+            m_onNewerVersion(peer, peer.configurationVersion);
         deliver(peer, DatagramKind(kind), message.at(3).toArray());
     }
 }
--- a/src/relay/PeerDatagrams.h
+++ b/src/relay/PeerDatagrams.h
@@ -1,4 +1,3 @@
-// Defines PeerDatagrams, short messages between daemons that may be lost.
 #pragma once
 
 #include "base/Ids.h"
@@ -18,31 +17,31 @@
 struct Peer;
 
 enum class DatagramKind {
-    /// What a daemon has at some targets.
+    /// The load that a daemon has placed at some targets.
     Load,
-    /// What changed in the platform's store.
+    /// Changes of the platform's store.
     StoreChange,
-    /// What is at the targets of a data centre.
+    /// The load at the targets of a data centre.
     Summary,
-    /// Requests that are suspected to crash targets, or held back.
+    /// Requests that are suspected of crashing targets, or held back.
     Quarantine,
-    /// A target that leaves.
+    /// A target that is leaving.
     Leaving,
-    /// A copy of a generation from one engine to another that was ordered.
+    /// A copy of a generation that was ordered from one engine to another.
     Copy,
-    /// A daemon that represents its data centre.
+    /// Daemons that are heads of their data centres.
     Head,
-    /// A message of another data centre that its head hands to the rest.
-    PassedOn,
+    /// A message from another data centre that a head forwards to its own.
+    Forwarded,
 };
-constexpr std::size_t DatagramKinds = 8;
+constexpr std::size_t DatagramKindCount = 8;
 
-/// @p kind is the number of a DatagramKind. Thread-safe.
-bool isKind(qint64 kind);
+/// Whether @p kind is the number of a DatagramKind. Thread-safe.
+bool isDatagramKind(qint64 kind);
 
-/// A message is a CBOR array in one datagram. Nothing that must hold depends on one: links with
-/// connections to hundreds of daemons would cost descriptors and probes for what is stale after
-/// a second.
+/// Exchanges short messages between daemons, which may be lost. A message is a CBOR array in one
+/// datagram. No guarantee depends on its delivery: connections to hundreds of daemons would cost
+/// file descriptors and probes, for data that is stale after a second.
 /// Thread safety: only from the thread of the event loop.
 class PeerDatagrams
 {
@@ -53,26 +52,26 @@
     explicit PeerDatagrams(PeerDirectory &peers);
     ~PeerDatagrams();
 
-    /// Takes datagrams at @p endpoint; false if it cannot.
+    /// Receives datagrams at @p endpoint. Returns false if it cannot.
     bool listenOn(const HttpEndpoint &endpoint);
-    /// Every message carries the version of the configuration that @p version tells; @p newer is
-    /// called when another daemon has a newer one.
-    void compareVersions(std::function<qint64()> version,
-                         std::function<void(const Peer &from, qint64 version)> newer);
-    /// Precondition: set before listenOn().
+    /// Adds the configuration version that @p version returns to every message, and calls @p newer
+    /// when another daemon has a newer one.
+    void setVersionCallbacks(std::function<qint64()> version,
+                             std::function<void(const Peer &from, qint64 version)> newer);
+    /// Sets the handler of one kind of messages. Precondition: called before listenOn().
     void onMessage(DatagramKind kind, Handler handler);
-    /// Hands a message that came inside another one to its handler.
+    /// Passes a message that was contained in another one to its handler.
     void deliver(const Peer &from, DatagramKind kind, const QCborArray &body) const;
     void send(const QList<Peer> &receivers, DatagramKind kind, const QCborArray &body);
 
 private:
-    void received();
+    void readDatagrams();
 
     PeerDirectory &m_peers;
     std::unique_ptr<QUdpSocket> m_socket;
-    std::array<Handler, DatagramKinds> m_handlers;
+    std::array<Handler, DatagramKindCount> m_handlers;
     std::function<qint64()> m_version = [] { return 0; };
-    std::function<void(const Peer &, qint64)> m_newer;
+    std::function<void(const Peer &, qint64)> m_onNewerVersion;
 };
 
 } // namespace cranberry
--- a/src/relay/PeerDirectory.cpp
+++ b/src/relay/PeerDirectory.cpp
@@ -18,26 +18,27 @@
 
 namespace {
 
-/// Each renewal is a call. A daemon that died without notice is listed for this long, and messages
-/// to it are lost meanwhile; daemons that expect messages of it forget it after KeepSilent.
-constexpr Milliseconds LeaseTime{120000};
-constexpr Milliseconds RenewEvery{40000};
-constexpr Milliseconds RetryAfterFailure{1000};
-constexpr Milliseconds LongestRetry{4000};
+/// Each renewal costs a call. A daemon that died without notice stays listed for this time, and
+/// messages to it are lost. Daemons that expect messages of it drop it after SilenceTimeout.
+constexpr Milliseconds LeaseDuration{120000};
+constexpr Milliseconds RenewInterval{40000};
+constexpr Milliseconds MinRetryInterval{1000};
+constexpr Milliseconds MaxRetryInterval{4000};
 constexpr Milliseconds CallTimeout{1500};
-/// All daemons of a fleet start within a second, and a list may be as old as some seconds; after
-/// that few come and go, and those that come send a hello to the daemons listed.
-constexpr Milliseconds FirstList{1500};
-constexpr Milliseconds SecondList{4000};
-constexpr Milliseconds ListEvery{60000};
-/// Kept after it was last listed or heard: two lists that failed.
-constexpr Milliseconds KeepUnseen{150000};
-/// Kept though nothing is heard, where daemons exchange messages.
-constexpr Milliseconds KeepSilent{30000};
-/// Daemons speak at least each 1.5 s.
-constexpr Milliseconds SilentAfter{4000};
-/// Up to this many peers every daemon tells all; with more the datagrams grow with their square.
-constexpr int SmallFleet = 100;
+/// All daemons of a fleet start within a second, and a list may be some seconds old. After that few
+/// daemons join or leave, and those that join send a hello to the daemons listed.
+constexpr Milliseconds FirstListDelay{1500};
+constexpr Milliseconds SecondListDelay{4000};
+constexpr Milliseconds ListInterval{60000};
+/// How long a daemon is kept after it was last listed or heard: two failed lists.
+constexpr Milliseconds UnseenTimeout{150000};
+/// How long a daemon is kept without a message of it, where daemons exchange messages.
+constexpr Milliseconds SilenceTimeout{30000};
+/// Daemons send a message at least every 1.5 s.
+constexpr Milliseconds HeardTimeout{4000};
+/// Up to this many peers, every daemon sends to all others. With more, the number of datagrams
+/// grows with the square of the fleet.
+constexpr int MaxSmallFleetPeers = 100;
 constexpr int StatusOk = 200;
 const QString PeerPrefix = QStringLiteral("cranberry/vm/");
 
@@ -78,8 +79,8 @@
 void PeerDirectory::start(bool isFirstStart)
 {
     announce();
-    const Milliseconds delay = isFirstStart ? FirstList : Milliseconds(0);
-    m_listTimer = m_timers.after(delay, [this] { list(); });
+    const Milliseconds delay = isFirstStart ? FirstListDelay : Milliseconds(0);
+    m_listTimer = m_timers.after(delay, [this] { requestList(); });
 }
 
 void PeerDirectory::call(const HttpRequest &request,
@@ -96,36 +97,37 @@
         });
 }
 
-void PeerDirectory::announceAgain(bool isAnnounced)
+void PeerDirectory::scheduleAnnounce(bool isAnnounced)
 {
-    m_retry = isAnnounced ? RetryAfterFailure : std::min(2 * m_retry, LongestRetry);
-    const Milliseconds delay = isAnnounced ? RenewEvery : m_retry;
+    m_retryInterval =
+        isAnnounced ? MinRetryInterval : std::min(2 * m_retryInterval, MaxRetryInterval);
+    const Milliseconds delay = isAnnounced ? RenewInterval : m_retryInterval;
     m_announceTimer = m_timers.after(delay, [this] { announce(); });
 }
 
 void PeerDirectory::announce()
 {
-    if (m_leaving)
+    if (m_isLeaving)
         return;
     if (!m_lease) {
-        call(m_protocol.grantLease(LeaseTime),
-             [this](const HttpResponse &response) { granted(response); });
+        call(m_protocol.grantLease(LeaseDuration),
+             [this](const HttpResponse &response) { handleLease(response); });
         return;
     }
     call(m_protocol.renewLease(*m_lease), [this](const HttpResponse &response) {
-        // A lease that has lapsed took the key with it: both are made anew.
+        // An expired lease took its key with it: both are created again.
         const bool isRenewed = response.status == StatusOk;
         if (!isRenewed)
             m_lease.reset();
-        announceAgain(isRenewed);
+        scheduleAnnounce(isRenewed);
     });
 }
 
-void PeerDirectory::granted(const HttpResponse &response)
+void PeerDirectory::handleLease(const HttpResponse &response)
 {
     const Result<LeaseId> lease = m_protocol.readLease(response);
     if (!lease) {
-        announceAgain(false);
+        scheduleAnnounce(false);
         return;
     }
     call(m_protocol.writeKey(PeerPrefix + m_self.vm.text(), encoded(m_self), lease.value()),
@@ -133,7 +135,7 @@
              const bool isWritten = written.status == StatusOk;
              if (isWritten)
                  m_lease = lease;
-             announceAgain(isWritten);
+             scheduleAnnounce(isWritten);
          });
 }
 
@@ -144,28 +146,29 @@
 
 void PeerDirectory::leave()
 {
-    m_leaving = true;
+    m_isLeaving = true;
     if (m_lease)
         call(m_protocol.endLease(*m_lease), [](const HttpResponse &) {});
 }
 
-void PeerDirectory::list()
+void PeerDirectory::requestList()
 {
     ++m_counters.storeCalls;
-    ++m_lists;
+    ++m_listCount;
     HttpExchangeOptions options;
     options.connectTimeout = CallTimeout;
     options.timeout = CallTimeout;
-    m_listing =
-        m_client.fetch(m_store, m_protocol.staleRange(PeerPrefix), options,
-                       [this](HttpExchangeEnd end, const HttpResponse &response) {
-                           listed(end == HttpExchangeEnd::Complete ? m_protocol.readItems(response)
-                                                                   : StoreAnswer());
-                       });
-    m_listTimer = m_timers.after(m_lists == 1 ? SecondList : ListEvery, [this] { list(); });
+    m_listing = m_client.fetch(m_store, m_protocol.staleRange(PeerPrefix), options,
+                               [this](HttpExchangeEnd end, const HttpResponse &response) {
+                                   handleList(end == HttpExchangeEnd::Complete
+                                                  ? m_protocol.readItems(response)
+                                                  : StoreAnswer());
+                               });
+    m_listTimer = m_timers.after(m_listCount == 1 ? SecondListDelay : ListInterval,
+                                 [this] { requestList(); });
 }
 
-void PeerDirectory::listed(const StoreAnswer &answer)
+void PeerDirectory::handleList(const StoreAnswer &answer)
 {
     if (answer.kind != StoreAnswer::Kind::Items) {
         logEvent(LogLevel::Warning, EventId::PeerListFailed,
@@ -179,37 +182,37 @@
         const Peer peer = decoded(item);
         if (peer.dataCentre == m_self.dataCentre && !m_peers.contains(peer.vm))
             joined.append(peer);
-        listed(peer);
+        handleListedPeer(peer);
     }
     logEvent(LogLevel::Info, EventId::PeersListed,
              {{"listed", QString::number(answer.items.size())},
               {"new", QString::number(m_peers.size() - before)}});
-    if (m_joinedNearby)
-        m_joinedNearby(joined);
+    if (m_localPeersJoined)
+        m_localPeersJoined(joined);
 }
 
-void PeerDirectory::listed(Peer peer)
+void PeerDirectory::handleListedPeer(Peer peer)
 {
-    // The store does not tell whether it is about to end.
+    // The store does not tell whether the daemon is about to end.
     const auto known = m_peers.constFind(peer.vm);
     if (known != m_peers.cend()) {
         peer.isDraining = known->isDraining;
-        peer.version = known->version;
+        peer.configurationVersion = known->configurationVersion;
     }
-    seen(peer);
+    recordPeer(peer);
 }
 
-void PeerDirectory::heard(const Peer &peer)
+void PeerDirectory::recordMessage(const Peer &peer)
 {
-    const bool isNewNearby =
+    const bool isNewLocalPeer =
         peer.dataCentre == m_self.dataCentre && !m_peers.contains(peer.vm) && peer.vm != m_self.vm;
-    seen(peer);
+    recordPeer(peer);
     const auto known = m_peers.find(peer.vm);
     if (known != m_peers.end())
-        known->heard = m_timers.now();
-    // The hello is answered, so that both know of each other at once.
-    if (isNewNearby && m_joinedNearby)
-        m_joinedNearby({peer});
+        known->lastMessage = m_timers.now();
+    // The hello is answered, so that both daemons know of each other at once.
+    if (isNewLocalPeer && m_localPeersJoined)
+        m_localPeersJoined({peer});
 }
 
 int PeerDirectory::rankAmong(const QList<Peer> &peers) const
@@ -218,18 +221,19 @@
     const quint64 own = rank(m_self);
     if (m_self.isDraining)
         return int(peers.size());
-    return int(std::count_if(peers.cbegin(), peers.cend(),
-                             [&](const Peer &peer) { return isHeard(peer) && rank(peer) < own; }));
+    return int(std::count_if(peers.cbegin(), peers.cend(), [&](const Peer &peer) {
+        return isRecentlyHeard(peer) && rank(peer) < own;
+    }));
 }
 
-bool PeerDirectory::isBefore(const Peer &peer) const
+bool PeerDirectory::precedesSelf(const Peer &peer) const
 {
     return stableHash(peer.vm.text()) < stableHash(m_self.vm.text());
 }
 
-bool PeerDirectory::isHeard(const Peer &peer) const
+bool PeerDirectory::isRecentlyHeard(const Peer &peer) const
 {
-    return peer.heard > m_timers.now() - SilentAfter && !peer.isDraining;
+    return peer.lastMessage > m_timers.now() - HeardTimeout && !peer.isDraining;
 }
 
 QList<DataCentreId> PeerDirectory::otherDataCentres() const
@@ -243,18 +247,19 @@
     return sorted;
 }
 
-void PeerDirectory::seen(const Peer &peer)
+void PeerDirectory::recordPeer(const Peer &peer)
 {
     if (peer.vm == m_self.vm || peer.vm.isEmpty())
         return;
     const auto found = m_peers.constFind(peer.vm);
     const bool isNew = found == m_peers.cend();
     Peer known = peer;
-    known.since = isNew ? m_timers.now() : found->since;
-    known.heard = isNew ? MonotonicTime() : found->heard;
-    known.seen = m_timers.now();
+    known.firstSeen = isNew ? m_timers.now() : found->firstSeen;
+    known.lastMessage = isNew ? MonotonicTime() : found->lastMessage;
+    known.lastSeen = m_timers.now();
     m_peers.insert(peer.vm, known);
-    // A list says how many are new; one line for each would be as many as daemons times daemons.
+    // The log line of a list gives the number of new daemons. One line for each daemon would be as
+    // many lines as the square of the fleet.
     if (isNew && peer.dataCentre == m_self.dataCentre)
         logEvent(LogLevel::Info, EventId::MemberJoined,
                  {{"vm", peer.vm.text()}, {"data_centre", peer.dataCentre.text()}});
@@ -263,9 +268,10 @@
 bool PeerDirectory::isGone(const Peer &peer) const
 {
     const MonotonicTime now = m_timers.now();
-    const bool sendsToUs = peer.dataCentre == m_self.dataCentre || m_peers.size() <= SmallFleet;
-    return now - peer.seen > KeepUnseen
-        || (sendsToUs && now - std::max(peer.heard, peer.since) > KeepSilent);
+    const bool sendsToSelf =
+        peer.dataCentre == m_self.dataCentre || m_peers.size() <= MaxSmallFleetPeers;
+    return now - peer.lastSeen > UnseenTimeout
+        || (sendsToSelf && now - std::max(peer.lastMessage, peer.firstSeen) > SilenceTimeout);
 }
 
 QList<Peer> PeerDirectory::peers() const
@@ -278,24 +284,24 @@
     return peers;
 }
 
-QList<Peer> PeerDirectory::peersNearby() const
+QList<Peer> PeerDirectory::localPeers() const
 {
-    QList<Peer> nearby;
+    QList<Peer> local;
     for (const Peer &peer : m_peers) {
         if (peer.dataCentre == m_self.dataCentre && !isGone(peer))
-            nearby.append(peer);
+            local.append(peer);
     }
-    return nearby;
+    return local;
 }
 
 bool PeerDirectory::isSmallFleet() const
 {
-    return fleetSize() <= SmallFleet + 1;
+    return fleetSize() <= MaxSmallFleetPeers + 1;
 }
 
-QList<Peer> PeerDirectory::audience() const
+QList<Peer> PeerDirectory::directReceivers() const
 {
-    return isSmallFleet() ? peers() : peersNearby();
+    return isSmallFleet() ? peers() : localPeers();
 }
 
 int PeerDirectory::fleetSize() const
--- a/src/relay/PeerDirectory.h
+++ b/src/relay/PeerDirectory.h
@@ -1,4 +1,3 @@
-// Defines PeerDirectory, the other daemons of the fleet as the platform's store lists them.
 #pragma once
 
 #include "relay/Peer.h"
@@ -22,9 +21,10 @@
 struct RelayCounters;
 struct StoreProtocol;
 
-/// Each daemon keeps a key with a lease in the store, so that one that is gone disappears by
-/// itself; all list these keys now and then. A watch would cost a call for each daemon and each
-/// one that comes or goes.
+/// The other daemons of the fleet as listed in the platform's store. Each daemon keeps a key with a
+/// lease in the store, so that the key of a daemon that is gone is removed without its help. All
+/// daemons list these keys at intervals. A watch would cost one call per daemon for each daemon
+/// that joins or leaves.
 /// Thread safety: only from the thread of the event loop.
 class PeerDirectory
 {
@@ -34,57 +34,59 @@
                   const StoreProtocol &protocol, RelayCounters &counters, Peer self);
     ~PeerDirectory();
 
-    /// Precondition: before start(). @p port is where this daemon is reached by others.
+    /// Sets the port at which other daemons reach this one. Precondition: called before start().
     void setPort(quint16 port) { m_self.endpoint.port = port; }
-    /// @p isFirstStart: the whole fleet starts, so that nobody is listed yet.
+    /// @p isFirstStart: the whole fleet is starting, so that no daemon is listed yet.
     void start(bool isFirstStart);
-    /// Called with daemons of the data centre that were not known before.
-    /// Precondition: before start().
-    void onJoinedNearby(std::function<void(const QList<Peer> &joined)> callback)
+    /// Sets the callback for daemons of the same data centre that were not known before.
+    /// Precondition: called before start().
+    void onLocalPeersJoined(std::function<void(const QList<Peer> &joined)> callback)
     {
-        m_joinedNearby = std::move(callback);
+        m_localPeersJoined = std::move(callback);
     }
-    /// This daemon is about to end; others represent its data centre from now on.
+    /// Marks this daemon as about to end; others represent its data centre from now on.
     void drain();
-    /// Gives the own key up, as this daemon is about to end.
+    /// Ends the lease of this daemon's key, as the daemon is about to end.
     void leave();
     const Peer &self() const { return m_self; }
-    /// The others, without those not seen for long.
+    /// The other daemons, without those that have timed out.
     QList<Peer> peers() const;
-    /// Those of the same data centre.
-    QList<Peer> peersNearby() const;
-    /// Every daemon tells all others at once what it places: there are few enough of them.
+    /// The other daemons of the same data centre, without those that have timed out.
+    QList<Peer> localPeers() const;
+    /// Whether the fleet is small enough for every daemon to report its placements to all others.
     bool isSmallFleet() const;
-    /// Those whom this daemon tells what it places: all in a small fleet, else those nearby.
-    QList<Peer> audience() const;
-    /// A message of @p peer came.
-    void heard(const Peer &peer);
-    /// How many daemons of the data centre go before this one in an order that all agree on;
-    /// those not heard for some seconds do not count.
-    int rankNearby() const { return rankAmong(peersNearby()); }
-    /// @p peer comes before this daemon in that order.
-    bool isBefore(const Peer &peer) const;
-    /// How many of @p peers that are heard of come before this daemon in an order that all share;
+    /// The daemons to which this one reports its placements directly: all in a small fleet, else
+    /// those of the same data centre.
+    QList<Peer> directReceivers() const;
+    /// Records that a message of @p peer arrived.
+    void recordMessage(const Peer &peer);
+    /// The number of daemons of the data centre that precede this one in the common order. Daemons
+    /// that were not heard for some seconds do not count.
+    int localRank() const { return rankAmong(localPeers()); }
+    /// Whether @p peer precedes this daemon in the common order.
+    bool precedesSelf(const Peer &peer) const;
+    /// The number of recently heard daemons of @p peers that precede this one in the common order;
     /// all of them if this daemon is about to end.
     int rankAmong(const QList<Peer> &peers) const;
-    /// A message of @p peer came within the last few seconds.
-    bool isHeard(const Peer &peer) const;
-    /// Data centres of other daemons, without the own one; sorted.
+    /// Whether a message of @p peer arrived within the last few seconds and the peer is not about
+    /// to end.
+    bool isRecentlyHeard(const Peer &peer) const;
+    /// The data centres of the other daemons except this daemon's own; sorted.
     QList<DataCentreId> otherDataCentres() const;
-    /// The store has listed the daemons at least once.
+    /// Whether the store has listed the daemons at least once.
     bool hasListed() const { return m_hasListed; }
-    /// Daemons that may live, this one included.
+    /// The number of daemons that may be alive, including this one.
     int fleetSize() const;
 
 private:
     void call(const HttpRequest &request, std::function<void(const HttpResponse &)> callback);
     void announce();
-    void granted(const HttpResponse &response);
-    void announceAgain(bool isAnnounced);
-    void list();
-    void listed(const StoreAnswer &answer);
-    void listed(Peer peer);
-    void seen(const Peer &peer);
+    void handleLease(const HttpResponse &response);
+    void scheduleAnnounce(bool isAnnounced);
+    void requestList();
+    void handleList(const StoreAnswer &answer);
+    void handleListedPeer(Peer peer);
+    void recordPeer(const Peer &peer);
     bool isGone(const Peer &peer) const;
 
     TimerService &m_timers;
@@ -95,11 +97,11 @@
     Peer m_self;
     QHash<VmId, Peer> m_peers;
     std::optional<LeaseId> m_lease;
-    Milliseconds m_retry{1000};
-    bool m_leaving = false;
-    int m_lists = 0;
+    Milliseconds m_retryInterval{1000};
+    bool m_isLeaving = false;
+    int m_listCount = 0;
     bool m_hasListed = false;
-    std::function<void(const QList<Peer> &)> m_joinedNearby;
+    std::function<void(const QList<Peer> &)> m_localPeersJoined;
     std::unique_ptr<HttpExchange> m_announcing;
     std::unique_ptr<HttpExchange> m_listing;
     std::unique_ptr<TimerSubscription> m_announceTimer;
--- a/src/relay/PeerLoad.h
+++ b/src/relay/PeerLoad.h
@@ -1,4 +1,3 @@
-// Defines PeerLoad, what another daemon says that it has at a target.
 #pragma once
 
 #include "base/Ids.h"
@@ -6,19 +5,20 @@
 
 namespace cranberry {
 
-/// What a peer said holds this long; it repeats it every 1.5 s.
-constexpr Milliseconds PeerLoadHolds{5000};
+/// How long a report of a peer is valid. Peers repeat it every 1.5 s.
+constexpr Milliseconds PeerLoadTimeout{5000};
 
+/// The load that another daemon reports at a target.
 struct PeerLoad {
     int running = 0;
-    /// Memory that its requests will take by the forecast.
+    /// Memory that its requests are forecast to take.
     Tokens tokens;
     /// Prompts that the engine has not read yet.
     Tokens unread;
-    /// Copies of its generations at other engines.
+    /// Copies of its generations that run at other engines.
     Tokens backup;
-    MonotonicTime heard;
-    /// Whose it is: that of the daemon, or of all of it together.
+    MonotonicTime heardAt;
+    /// The data centre of the daemon, or the one whose total this is.
     DataCentreId dataCentre;
 };
 
--- a/src/relay/PeerState.cpp
+++ b/src/relay/PeerState.cpp
@@ -24,31 +24,33 @@
 
 namespace {
 
-/// A target that leaves is gone about 1.5 s after it says so, and its streams take most of that
-/// to move.
+/// A target that leaves is gone about 1.5 s after it announces it, and moving its streams takes
+/// most of that.
 constexpr Milliseconds AskInterval{250};
-/// Of a daemon whose configuration is about to be too old: a third of those asked may be turned
-/// away as well, and links may be cut, and of a bound of two seconds a half is left. Hundreds of
-/// daemons that start together and miss the targets alone must not ask that often.
+/// For a daemon whose configuration is about to exceed its bound: a third of the daemons asked may
+/// be refused by the store as well, links may be cut, and of a bound of two seconds a half is left.
+/// Hundreds of daemons that start together and lack only the targets must not ask that often.
 constexpr Milliseconds StaleAskInterval{100};
 constexpr Milliseconds AskTimeout{400};
 /// Responses with contents can be hundreds of KB and share the links with other traffic. Aborting
 /// and repeating a transfer that still makes progress only adds to the load.
 constexpr Milliseconds FetchStallTimeout{800};
 constexpr Milliseconds FetchTimeout{5000};
-/// When the store is away for all, no other daemon has anything newer; when it turns some away, a
-/// third of the daemons asked has nothing, and a new version must be in force within two seconds.
-constexpr Milliseconds LongestPause{500};
-/// All daemons of a data centre hear of a new configuration in the same moment and ask its heads,
-/// whose links carry some 20 answers of 30 KB in this time.
-constexpr int MostDelayMilliseconds = 200;
-/// In place of a revision: the other daemon leaves this part out.
+/// When the store is unavailable to all, no other daemon has anything newer. When it refuses some,
+/// a third of the daemons asked have nothing, and a new version must be in force within two
+/// seconds.
+constexpr Milliseconds MaxAskPause{500};
+/// All daemons of a data centre hear of a new configuration at the same time and ask its heads,
+/// whose links carry about 20 responses of 30 KB in this time.
+constexpr int MaxFetchDelayMilliseconds = 200;
+/// Sent in place of a revision: the other daemon leaves this part out.
 constexpr qint64 NotNeeded = std::numeric_limits<qint64>::max();
-/// One question in so many goes to any data centre: the store may be away for the whole own one.
-constexpr int AskedElsewhere = 4;
-/// Items told to a daemon that has none: 500 targets are some 120 KB, and a VM's link carries
-/// 20 Mbit/s where the store's carries 1,000.
-constexpr qsizetype MostAtOnce = 500;
+/// One request in this many goes to any data centre, as the store may be unavailable to the
+/// daemon's whole own one.
+constexpr int AsksPerRemoteAsk = 4;
+/// Maximum number of items sent to a daemon that has none: 500 targets are about 120 KB, and a VM's
+/// link carries 20 Mbit/s where the store's carries 1,000.
+constexpr qsizetype MaxItemsForEmptyPeer = 500;
 constexpr int StatusOk = 200;
 constexpr int StatusUnavailable = 503;
 constexpr char StatePath[] = "/state/";
@@ -58,7 +60,8 @@
 
 const QString ConfigurationField = QStringLiteral("configuration");
 const QString EntriesField = QStringLiteral("entries");
-/// How many ms ago the configuration and the entries of the answering daemon were last confirmed.
+/// Milliseconds since the configuration and the entries of the answering daemon were last
+/// confirmed.
 const QString AgeField = QStringLiteral("age");
 const QString EntriesAgeField = QStringLiteral("entries_age");
 /// The revision that a copy of the configuration must have reached to be confirmed by the answer.
@@ -75,11 +78,11 @@
 };
 
 /// Returns the changes after @p known. Returns nullopt if the other daemon has no items and there
-/// are more than MostAtOnce, as the store delivers them faster.
+/// are more than MaxItemsForEmptyPeer, as the store delivers them faster.
 std::optional<CopyChanges> changesSince(const StoreMirror &mirror, Revision known)
 {
     const bool hasNothing = known == Revision();
-    if (hasNothing && mirror.items().size() > MostAtOnce)
+    if (hasNothing && mirror.items().size() > MaxItemsForEmptyPeer)
         return std::nullopt;
     CopyChanges changes;
     changes.upTo = mirror.revision();
@@ -87,7 +90,7 @@
         return changes;
     for (const StoreItem &item : mirror.items()) {
         // The key may already be removed at this revision, and the other daemon would keep it.
-        if (mirror.isDoubted(item.key))
+        if (mirror.isRemovalPending(item.key))
             continue;
         changes.keys.append(item.key);
         if (item.revision > known)
@@ -123,7 +126,7 @@
 /// Encodes the changes after @p known as an array of revision, changed items and keys. Returns an
 /// empty array if the other daemon has to read from the store. @p cache is null if the other daemon
 /// does not accept compressed items.
-QCborArray stateOf(const StoreMirror &mirror, Revision known, CompressedItemsCache *cache)
+QCborArray encodeChanges(const StoreMirror &mirror, Revision known, CompressedItemsCache *cache)
 {
     const std::optional<CopyChanges> changes = changesSince(mirror, known);
     if (!changes)
@@ -148,11 +151,11 @@
     return items;
 }
 
-/// A peer's answer lists the keys of all targets, and the store's only what changed: so peers are
+/// A peer's response lists the keys of all targets, the store's only what changed: so peers are
 /// asked only if the store does not serve this daemon.
 bool asksPeersForTargets(const StalenessView &targets)
 {
-    return targets.isTurnedAway && stalenessStep(targets) != StalenessStep::Wait;
+    return targets.isRejectedByStore && stalenessStep(targets) != StalenessStep::Wait;
 }
 
 /// A request for the changes after the given revisions.
@@ -179,8 +182,9 @@
     return Revision(state.value(newestField).toInteger(peerRevision)) <= mirror.revision();
 }
 
-/// Whether all that the other daemon has is here now.
-bool takeInto(StoreMirror &mirror, const QCborValue &state)
+/// Merges @p state, a part of a peer's response, into @p mirror. Returns whether the mirror now
+/// includes everything that the peer has.
+bool mergeInto(StoreMirror &mirror, const QCborValue &state)
 {
     const QCborArray fields = state.toArray();
     if (fields.isEmpty())
@@ -194,7 +198,7 @@
     QSet<QString> keys;
     for (const QCborValue key : fields.at(2).toArray())
         keys.insert(key.toString());
-    mirror.takeFrom(*changed, keys, revision);
+    mirror.mergePeerCopy(*changed, keys, revision);
     return true;
 }
 
@@ -211,7 +215,7 @@
     , m_counters(counters)
     , m_staleness(std::move(staleness))
     , m_pause(AskInterval)
-    , m_timer(timers.every(StaleAskInterval, [this] { askIfAway(); }))
+    , m_timer(timers.every(StaleAskInterval, [this] { askIfStale(); }))
 {
 }
 
@@ -228,17 +232,17 @@
         return;
     }
     const bool acceptsCompressed = request.headers.value("Accept") == CompressedContentType;
-    // What the operator wrote is worth telling however old it is, as its age goes with it.
+    // The operator's keys are sent however old they are, as their age is sent with them.
     QCborMap state{{ConfigurationField,
-                    stateOf(m_configuration, Revision(parts.at(2).toLongLong()),
-                            acceptsCompressed ? &m_compressedConfiguration : nullptr)},
+                    encodeChanges(m_configuration, Revision(parts.at(2).toLongLong()),
+                                  acceptsCompressed ? &m_compressedConfiguration : nullptr)},
                    {AgeField, qint64(m_configuration.age().count())},
                    {NewestField, m_configuration.requiredPeerRevision().value()},
                    {EntriesAgeField, qint64(m_entries.age().count())}};
     if (m_entries.hasSource())
         state.insert(EntriesField,
-                     stateOf(m_entries, Revision(parts.at(3).toLongLong()),
-                             acceptsCompressed ? &m_compressedEntries : nullptr));
+                     encodeChanges(m_entries, Revision(parts.at(3).toLongLong()),
+                                   acceptsCompressed ? &m_compressedEntries : nullptr));
     const QByteArray body = state.toCborValue().toCbor();
     m_counters.peerStateBytesSent += body.size();
     reply->send(
@@ -252,7 +256,7 @@
     return stalenessStep(staleness()) != StalenessStep::Wait;
 }
 
-void PeerState::askIfAway()
+void PeerState::askIfStale()
 {
     const bool isStale =
         this->isStale(m_staleness.configuration) || asksPeersForTargets(m_staleness.targets());
@@ -261,30 +265,30 @@
         m_pause = AskInterval;
         return;
     }
-    QList<Peer> peers = m_peers.peersNearby();
-    if (peers.isEmpty() || QRandomGenerator::global()->bounded(AskedElsewhere) == 0)
+    QList<Peer> peers = m_peers.localPeers();
+    if (peers.isEmpty() || QRandomGenerator::global()->bounded(AsksPerRemoteAsk) == 0)
         peers = m_peers.peers();
-    if (peers.isEmpty() || m_timers.now() < m_nextQuestion)
+    if (peers.isEmpty() || m_timers.now() < m_nextAsk)
         return;
-    // Those that lately spoke are likelier to answer; a list may name some that have ended.
+    // Recently heard daemons are more likely to answer; a list may name some that have ended.
     QList<Peer> heard = peers;
-    heard.removeIf([this](const Peer &peer) { return !m_peers.isHeard(peer); });
+    heard.removeIf([this](const Peer &peer) { return !m_peers.isRecentlyHeard(peer); });
     if (!heard.isEmpty())
         peers = heard;
-    // Past the bound the store is away for all, and haste is no use.
+    // Beyond the bound the store is unavailable to all, and asking more often does not help.
     const bool isUrgent = isStale
         && (isWithinBound(m_staleness.configuration()) || isWithinBound(m_staleness.targets()));
-    m_nextQuestion = m_timers.now() + (isUrgent ? StaleAskInterval : m_pause);
+    m_nextAsk = m_timers.now() + (isUrgent ? StaleAskInterval : m_pause);
     askForRevisions(peers.at(QRandomGenerator::global()->bounded(int(peers.size()))));
 }
 
-void PeerState::askSoon(const Peer &peer)
+void PeerState::scheduleFetch(const Peer &peer)
 {
-    if (m_fetch || m_soon)
+    if (m_fetch || m_fetchTimer)
         return;
-    const Milliseconds delay(QRandomGenerator::global()->bounded(MostDelayMilliseconds));
-    m_soon = m_timers.after(delay, [this, peer] {
-        m_soon.reset();
+    const Milliseconds delay(QRandomGenerator::global()->bounded(MaxFetchDelayMilliseconds));
+    m_fetchTimer = m_timers.after(delay, [this, peer] {
+        m_fetchTimer.reset();
         if (!m_fetch)
             fetchContents(peer);
     });
@@ -292,7 +296,7 @@
 
 bool PeerState::needsEntries() const
 {
-    // Entries come by the feed, and all of them are a long answer.
+    // The feed delivers entries, and a response with all of them is large.
     return !m_entries.hasRead() || !m_entries.hasSource()
         || asksPeersForTargets(m_staleness.targets());
 }
@@ -302,16 +306,17 @@
     HttpExchangeOptions options;
     options.connectTimeout = AskTimeout;
     options.timeout = AskTimeout;
-    const int number = ++m_asked;
-    m_questions[number] = m_client.fetch(peer.endpoint, stateRequest(NotNeeded, NotNeeded), options,
-                                         [this, number, peer, asked = m_timers.now()](
-                                             HttpExchangeEnd end, const HttpResponse &response) {
-                                             const auto question = m_questions.extract(number);
-                                             const std::optional<QCborMap> state =
-                                                 decodeResponse(peer.vm, end, response, asked);
-                                             if (state)
-                                                 handleRevisions(peer, *state, asked);
-                                         });
+    const int number = ++m_lastRequestNumber;
+    m_revisionRequests[number] =
+        m_client.fetch(peer.endpoint, stateRequest(NotNeeded, NotNeeded), options,
+                       [this, number, peer, asked = m_timers.now()](HttpExchangeEnd end,
+                                                                    const HttpResponse &response) {
+                           const auto exchange = m_revisionRequests.extract(number);
+                           const std::optional<QCborMap> state =
+                               decodeResponse(peer.vm, end, response, asked);
+                           if (state)
+                               handleRevisions(peer, *state, asked);
+                       });
 }
 
 void PeerState::handleRevisions(const Peer &peer, const QCborMap &state, MonotonicTime asked)
@@ -354,7 +359,7 @@
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(m_timers.now() - asked);
     m_counters.peerStateBytesReceived += response.body.size();
     if (end != HttpExchangeEnd::Complete || response.status != StatusOk) {
-        m_pause = std::clamp(2 * m_pause, AskInterval, LongestPause);
+        m_pause = std::clamp(2 * m_pause, AskInterval, MaxAskPause);
         ++m_counters.peerStateFailed;
         logEvent(LogLevel::Info, EventId::PeerStateFailed,
                  {{"vm", vm.text()},
@@ -378,7 +383,7 @@
 {
     const Revision before = m_configuration.revision();
     const Milliseconds age = decodeAge(state.value(AgeField));
-    if (takeInto(m_configuration, state.value(ConfigurationField)))
+    if (mergeInto(m_configuration, state.value(ConfigurationField)))
         m_configuration.confirm(asked - age, StoreSource::Peer);
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(m_timers.now() - asked);
     if (before < m_configuration.revision())
@@ -389,9 +394,9 @@
                   {"bytes", QString::number(bytes)},
                   {"took_ms", QString::number(elapsed.count())},
                   {"age_ms", QString::number(age.count())}});
-    // An answer without them names a revision all the same: taken for all that there is, it
-    // removed every target.
-    if (hasEntries && takeInto(m_entries, state.value(EntriesField)))
+    // A response without entries names a revision as well. Taken for a complete list, it removed
+    // every target.
+    if (hasEntries && mergeInto(m_entries, state.value(EntriesField)))
         m_entries.confirm(asked - decodeAge(state.value(EntriesAgeField)), StoreSource::Peer);
 }
 
--- a/src/relay/PeerState.h
+++ b/src/relay/PeerState.h
@@ -1,4 +1,3 @@
-// Defines PeerState, by which daemons that the store turns away learn from those that it serves.
 #pragma once
 
 #include "base/Ids.h"
@@ -31,14 +30,15 @@
 struct Peer;
 struct RelayCounters;
 
-/// Answers what this daemon holds of the store, and asks another daemon for it while the store
-/// cannot be reached. A daemon cut off from the store would else go on with routes and keys that
-/// were taken away, and lose the streams of targets that leave.
+/// Lets a daemon that the store refuses get the contents of the store from one that it serves:
+/// serves this daemon's copies to other daemons, and requests theirs while the store cannot be
+/// reached. Otherwise a daemon cut off from the store would continue to use removed routes and
+/// revoked keys, and would lose the streams of targets that leave.
 /// Thread safety: only from the thread of the event loop.
 class PeerState
 {
 public:
-    /// How old this daemon's copies may be.
+    /// The staleness of this daemon's copies.
     struct Staleness {
         std::function<StalenessView()> configuration;
         std::function<StalenessView()> targets;
@@ -52,13 +52,13 @@
 
     /// Fetches newer contents from @p peer after a short random delay. Does nothing if a fetch is
     /// already scheduled or in progress.
-    void askSoon(const Peer &peer);
-    /// Answers another daemon.
+    void scheduleFetch(const Peer &peer);
+    /// Handles the request of another daemon.
     void handle(const HttpRequest &request, const std::shared_ptr<CallerReply> &reply) const;
 
 private:
     bool isStale(const std::function<StalenessView()> &staleness) const;
-    void askIfAway();
+    void askIfStale();
     bool needsEntries() const;
     /// Requests the ages and revisions of the copies of @p peer, without their contents.
     void askForRevisions(const Peer &peer);
@@ -87,12 +87,12 @@
     /// daemon's link.
     std::unique_ptr<HttpExchange> m_fetch;
     /// Pending requests for revisions, by number.
-    std::map<int, std::unique_ptr<HttpExchange>> m_questions;
-    int m_asked = 0;
-    std::unique_ptr<TimerSubscription> m_soon;
-    /// Pause between questions while the store is away.
+    std::map<int, std::unique_ptr<HttpExchange>> m_revisionRequests;
+    int m_lastRequestNumber = 0;
+    std::unique_ptr<TimerSubscription> m_fetchTimer;
+    /// The pause between requests while the store is unavailable.
     Milliseconds m_pause;
-    MonotonicTime m_nextQuestion;
+    MonotonicTime m_nextAsk;
     std::unique_ptr<TimerSubscription> m_timer;
 };
 
--- a/src/relay/RelayConfiguration.cpp
+++ b/src/relay/RelayConfiguration.cpp
@@ -44,10 +44,10 @@
         total += std::max(share.weight, 0);
     if (total == 0)
         return route.services.isEmpty() ? ServiceId() : route.services.first().service;
-    int drawn = int(stableHash(id.text()) % quint64(total));
+    int remaining = int(stableHash(id.text()) % quint64(total));
     for (const ServiceShare &share : route.services) {
-        drawn -= std::max(share.weight, 0);
-        if (drawn < 0)
+        remaining -= std::max(share.weight, 0);
+        if (remaining < 0)
             return share.service;
     }
     return route.services.last().service;
--- a/src/relay/RelayConfiguration.h
+++ b/src/relay/RelayConfiguration.h
@@ -1,4 +1,3 @@
-// Defines RelayConfiguration, one version of routes, services, keys and limits.
 #pragma once
 
 #include "base/Ids.h"
@@ -12,7 +11,8 @@
 
 namespace cranberry {
 
-/// Immutable once in force; requests keep the version that they began with.
+/// One version of routes, services, keys and limits. Immutable once in force. Requests keep the
+/// version with which they began.
 struct RelayConfiguration {
     ConfigurationVersion version;
     /// The routes of each host, longest prefix first.
@@ -30,12 +30,12 @@
 /// The total number of routes of all hosts. Thread-safe.
 qsizetype routeCount(const RelayConfiguration &configuration);
 
-/// The route with the longest prefix that begins @p target; null if there is none.
-/// Precondition: the routes are sorted. Thread-safe.
+/// Returns the route with the longest prefix of @p target, or null if there is none. Precondition:
+/// the routes are sorted. Thread-safe.
 const RelayRoute *findRoute(const RelayConfiguration &configuration, const QByteArray &host,
                             const QByteArray &target);
 
-/// The service that takes the request @p id: the same one at every daemon and each time.
+/// Returns the service for the request @p id: the same one at every daemon and each time.
 /// Thread-safe.
 ServiceId serviceFor(const RelayRoute &route, const RequestId &id);
 
--- a/src/relay/RelayContext.h
+++ b/src/relay/RelayContext.h
@@ -17,7 +17,7 @@
 class HttpClient;
 class OutputForecast;
 class TargetDirectory;
-class TargetNews;
+class TargetAnnouncements;
 class TimerService;
 class WaitingRequests;
 struct RoomForecast;
@@ -27,7 +27,7 @@
     TimerService &timers;
     HttpClient &client;
     TargetDirectory &targets;
-    TargetNews &news;
+    TargetAnnouncements &news;
     EngineReports &reports;
     WaitingRequests &waiting;
     RetryShare &retries;
--- a/src/relay/RelayDaemon.cpp
+++ b/src/relay/RelayDaemon.cpp
@@ -140,41 +140,42 @@
 {
     RelayParts &parts = *m_parts;
     for (StoreMirror *mirror : {&parts.entries, &parts.configuration})
-        mirror->setLongestBackoff([this] { return m_parts->feed.longestBackoff(); });
+        mirror->setMaxBackoff([this] { return m_parts->feed.maxBackoff(); });
     // The operator's keys have no leases: what is removed stays removed.
-    parts.configuration.setKeysLapse(false);
-    parts.entries.setLapseAfter(HeartbeatsToLapse * settings.targetHeartbeat);
+    parts.configuration.setKeysExpire(false);
+    parts.entries.setMinExpiryOutage(HeartbeatsToLapse * settings.targetHeartbeat);
     parts.configuration.setCallbacks(
         {[this](const StoreItem &item) { operatorWrote(item.key, item.value); },
          [this](const QString &key) { setEvacuated(key, false); }});
     parts.entries.setCallbacks(
         {[this](const StoreItem &item) { m_parts->targetEntries.put(item.key, item.value); },
-         [this](const QString &key) { m_parts->targetEntries.removed(key); }});
+         [this](const QString &key) { m_parts->targetEntries.remove(key); }});
     parts.readiness.setHandler(
         [this](const HttpRequest &request, const std::shared_ptr<CallerReply> &reply) {
             readiness(request, reply);
         });
-    parts.datagrams.compareVersions(
+    parts.datagrams.setVersionCallbacks(
         [this] { return configurationVersion(*m_parts); },
         [this](const Peer &from, qint64 version) { newerVersionHeard(from, version); });
     parts.targets.onLeaving(
         [this](const TargetId &target) { m_parts->gateway.targetLeaving(target); });
-    parts.targets.onLeavingFirstHand(
-        [this](const TargetId &target) { m_parts->news.leaving(target); });
+    parts.targets.onLeavingDirect(
+        [this](const TargetId &target) { m_parts->news.announceLeaving(target); });
     parts.targets.onLost([this](const TargetId &target) { m_parts->gateway.targetLost(target); });
-    parts.peers.onJoinedNearby([this](const QList<Peer> &joined) {
+    parts.peers.onLocalPeersJoined([this](const QList<Peer> &joined) {
         // They learn of this daemon at once, and not with their next list.
         m_parts->loads.sendHello(joined);
     });
     parts.loads.setHasEngine(
         [this](const ServiceId &service) { return hasEngine(*m_parts, service); });
-    parts.targets.onOwnLoad(
-        [this](const TargetId &target, bool isMore) { m_parts->loads.changed(target, isMore); });
+    parts.targets.onOwnLoad([this](const TargetId &target, bool isIncrease) {
+        m_parts->loads.handleLoadChange(target, isIncrease);
+    });
     parts.targets.setColdPace(
         [this](const ServiceId &service) { return coldPaceOf(*m_parts, service); });
     parts.targets.onCrashed(
         [this](const TargetId &target) { m_parts->crashes.targetGone(target); });
-    parts.targets.onRoom([this] { m_parts->waiting.roomChanged(); });
+    parts.targets.onCapacityFreed([this] { m_parts->waiting.roomChanged(); });
 }
 
 RelayDaemon::~RelayDaemon() = default;
@@ -214,7 +215,7 @@
         if (m_parts->configuration.isWatching())
             m_parts->configuration.readAgain();
         else
-            m_parts->peerState.askSoon(from);
+            m_parts->peerState.scheduleFetch(from);
     });
 }
 
@@ -253,7 +254,7 @@
 
 bool RelayDaemon::isReady() const
 {
-    return m_parts->gateway.configuration() && m_parts->entries.hasSome() && !m_drained;
+    return m_parts->gateway.configuration() && m_parts->entries.hasAnyContents() && !m_drained;
 }
 
 void RelayDaemon::readiness(const HttpRequest &request, const std::shared_ptr<CallerReply> &reply)
@@ -283,7 +284,7 @@
         return;
     logEvent(LogLevel::Info, isEvacuated ? EventId::EvacuationInForce : EventId::EvacuationEnded,
              {{"data_centre", dataCentre->text()},
-              {"revision", QString::number(m_parts->configuration.newest().value())}});
+              {"revision", QString::number(m_parts->configuration.newestRevision().value())}});
     m_parts->targets.setEvacuated(*dataCentre, isEvacuated);
 }
 
--- a/src/relay/RelayParts.h
+++ b/src/relay/RelayParts.h
@@ -46,7 +46,7 @@
     PeerDatagrams datagrams;
     DataCentreHeads heads;
     LoadExchange loads;
-    TargetNews news;
+    TargetAnnouncements news;
     CrashGuard crashes;
     RelayContext context;
     /// All that the operator wrote: the configuration and evacuations.
--- a/src/relay/RelayRun.cpp
+++ b/src/relay/RelayRun.cpp
@@ -189,7 +189,7 @@
         m_firstEventAt = m_context.timers.now();
         const std::chrono::duration<double, std::milli> taken = m_firstEventAt - m_task.arrived;
         m_context.counters.of(m_task.route.kind).toAnswer.add(taken.count());
-        m_context.targets.succeeded(m_target);
+        m_context.targets.recordSuccess(m_target);
         m_reply->startStream(m_streamHead.status, m_streamHead.headers);
     }
     const bool isFirstHere = m_ran != Ran::Yes;
@@ -252,7 +252,7 @@
     if (m_phase == Phase::Sent || m_phase == Phase::Moving)
         m_ran = std::max(m_ran, Ran::Maybe);
     if (m_phase == Phase::Sent && !hasBegun())
-        m_context.targets.failed(m_target, "deadline passed");
+        m_context.targets.recordFailure(m_target, "deadline passed");
     if (m_fallback)
         answered(*m_fallback);
     else
--- a/src/relay/RelayRunMoves.cpp
+++ b/src/relay/RelayRunMoves.cpp
@@ -109,7 +109,7 @@
     if (!m_avoidedDestination.isEmpty())
         wanted.excluded.insert(m_avoidedDestination);
     wanted.dataCentre = source->entry.dataCentre;
-    const MoveNeed move{wanted, heldTokens(), source->linkFree};
+    const MoveNeed move{wanted, heldTokens(), source->linkFreeAt};
     const MovePick pick = chooseDestination(m_context.targets.takingWork(m_task.service), move,
                                             m_context.timers.now());
     const bool comesTooLate =
@@ -235,7 +235,7 @@
             const bool isSilent =
                 record && context.timers.now() - record->reportedAt > RefusalReportFreshFor;
             if (isSilent)
-                context.targets.failed(destination, "refused a copy and gave no report");
+                context.targets.recordFailure(destination, "refused a copy and gave no report");
         });
 }
 
--- a/src/relay/RelayRunPlacement.cpp
+++ b/src/relay/RelayRunPlacement.cpp
@@ -141,7 +141,7 @@
 
 bool RelayRun::reservesRoom() const
 {
-    return m_task.engine && m_task.engine->longestReservation.count() > 0;
+    return m_task.engine && m_task.engine->maxReservation.count() > 0;
 }
 
 void RelayRun::reserve(const TargetPick &pick)
@@ -154,7 +154,7 @@
     const Tokens output(qint64(ReservedOutputPart * double(expectedOutput().value())));
     m_reservation = std::make_unique<RoomReservation>(
         m_context, pick.target->entry, m_task.request.promptTokens + output,
-        std::min(ReservationHolds, m_task.engine->longestReservation),
+        std::min(ReservationHolds, m_task.engine->maxReservation),
         [this](const ReservationOutcome &outcome) {
             const auto self = shared_from_this();
             reservationEnded(outcome);
@@ -188,7 +188,7 @@
         break;
     case ReservationOutcome::Kind::Unknown:
         m_excluded.insert(target);
-        m_context.targets.failed(target, "no answer to a reservation");
+        m_context.targets.recordFailure(target, "no answer to a reservation");
         break;
     }
     if (!tryPlace())
--- a/src/relay/RelayRunRetries.cpp
+++ b/src/relay/RelayRunRetries.cpp
@@ -100,9 +100,9 @@
     switch (result.kind) {
     case SendResult::Kind::Answered:
         if (result.head.status >= FirstServerFailure)
-            m_context.targets.failed(m_target, "answered with a failure");
+            m_context.targets.recordFailure(m_target, "answered with a failure");
         else
-            m_context.targets.succeeded(m_target);
+            m_context.targets.recordSuccess(m_target);
         break;
     case SendResult::Kind::NotExecuted:
         // A full target is not a broken one; the load figures speak of that.
@@ -113,7 +113,7 @@
     case SendResult::Kind::NotConnected:
     case SendResult::Kind::Broken:
     case SendResult::Kind::Spoilt:
-        m_context.targets.failed(m_target, sendResultName(result.kind));
+        m_context.targets.recordFailure(m_target, sendResultName(result.kind));
         break;
     }
 }
--- a/src/relay/StoreAnswer.h
+++ b/src/relay/StoreAnswer.h
@@ -1,4 +1,3 @@
-// Defines StoreAnswer, what a read or a watch of the platform's store yields.
 #pragma once
 
 #include "relay/StoreItem.h"
@@ -7,20 +6,21 @@
 
 namespace cranberry {
 
+/// The result of a read or a watch of the platform's store.
 struct StoreAnswer {
     enum class Kind {
         Items,
-        /// The history asked for is gone; a new read is needed.
+        /// The requested history was compacted; a new read is needed.
         Compacted,
-        /// Refused, or no answer that can be read.
+        /// The call was refused, or its answer cannot be decoded.
         Unavailable,
     };
 
     Kind kind = Kind::Unavailable;
     QList<StoreItem> items;
-    /// There is a further page after the last item.
+    /// There is another page after the last item.
     bool hasMore = false;
-    /// The store's revision that the answer stands for.
+    /// The revision of the store that the answer reflects.
     Revision asOf;
 };
 
--- a/src/relay/StoreFeed.h
+++ b/src/relay/StoreFeed.h
@@ -1,4 +1,3 @@
-// Defines StoreFeed, by which a few daemons watch the store for the others.
 #pragma once
 
 #include "base/Ids.h"
@@ -26,11 +25,12 @@
 class TimerService;
 class TimerSubscription;
 
-/// Each change of a watched key costs a call for each daemon that watches. So two daemons of the
-/// fleet watch, by watchesStore(), and tell the heads of the data centres, and these tell theirs:
-/// what changed, and a heartbeat with the revision up to which they know. A daemon that hears no
-/// heartbeat goes back to its own watch; one that missed a change of an entry asks the store for
-/// it, and one that misses the configuration asks the daemon that has it.
+/// Lets a few daemons watch the platform's store for the others. Each change of a watched key costs
+/// a call for each daemon that watches. Therefore only two daemons of the fleet watch, as decided
+/// by watchesStore(). They send the changes, and heartbeats with the revision up to which they know
+/// them, to the heads of the data centres, which forward them to the other daemons there. A daemon
+/// that receives no heartbeat returns to its own watch. A daemon that missed a change of an entry
+/// asks the store for it, and one that lacks the configuration asks a daemon that has it.
 /// Thread safety: only from the thread of the event loop.
 class StoreFeed
 {
@@ -45,42 +45,43 @@
         StoreMirror &configuration;
     };
 
-    /// Precondition: all of @p parts outlives the feed. @p isFirstStart: the whole fleet starts, so
-    /// that nobody can have anything to tell yet.
-    /// @p version tells which version of the configuration is in force here.
+    /// Precondition: everything in @p parts outlives the feed. @p isFirstStart: the whole fleet is
+    /// starting, so that no daemon has anything to send yet. @p version returns the version of the
+    /// configuration in force at this daemon.
     StoreFeed(const Parts &parts, bool isFirstStart, const StalenessBounds &bounds,
               std::function<qint64()> version);
     ~StoreFeed();
 
-    /// This daemon is about to end: it tells those whom it feeds, so that they need not miss it.
+    /// Tells the daemons that this one feeds that it is about to end, so that they need not wait
+    /// for missing heartbeats.
     void drain();
 
-    /// How old what the operator wrote may be here.
+    /// The staleness of this daemon's copy of the operator's keys.
     StalenessView configurationStaleness() const;
-    /// How old the entries of targets may be here.
+    /// The staleness of this daemon's copy of the entries of targets.
     StalenessView targetsStaleness() const;
 
-    /// The longest pause of this daemon between calls to a store that does not answer.
-    Milliseconds longestBackoff() const;
+    /// The maximum pause of this daemon between calls to a store that does not answer.
+    Milliseconds maxBackoff() const;
 
 private:
-    /// A copy of a part of the store that is kept within a bound.
+    /// A copy of a part of the store that is kept within a bound of staleness.
     struct BoundedCopy {
         StoreMirror &mirror;
         Milliseconds bound;
-        /// See StalenessView::draw.
-        double readDraw;
-        /// The step that was logged last.
+        /// See StalenessView::randomFraction.
+        double readFraction;
+        /// The step that was last logged.
         StalenessStep step = StalenessStep::Wait;
     };
 
     struct Source {
         Peer peer;
-        FeedStanding standing = FeedStanding::Away;
-        MonotonicTime heard;
+        FeedRole role = FeedRole::Disconnected;
+        MonotonicTime heardAt;
     };
 
-    /// The others with whom this daemon shares watches.
+    /// The other daemons with which this one shares watches.
     struct Group {
         QList<Peer> others;
         bool isWholeFleet = false;
@@ -90,18 +91,18 @@
     QList<Peer> receivers(bool hasItems) const;
     FeedView view() const;
     bool isRecent(const Source &source) const;
-    int count(FeedStanding standing) const;
-    FeedStanding standing() const;
+    int count(FeedRole role) const;
+    FeedRole role() const;
     bool isFed() const;
-    bool holdsBack() const;
+    bool defersStoreCalls() const;
     Milliseconds watchWait() const;
     Milliseconds configurationWait() const;
-    Milliseconds pace() const;
+    Milliseconds watchDelay() const;
     void check();
-    void lookUpGroup();
-    void planProbe(bool wasRefused);
-    void changed(const StoreAnswer &answer, Revision base);
-    void lost();
+    void updateGroup();
+    void scheduleProbe(bool wasRefused);
+    void forwardChanges(const StoreAnswer &answer, Revision base);
+    void handleStoreUnavailable();
     bool askForEntries();
     bool askForConfiguration();
     /// The daemons that feed this one.
@@ -109,14 +110,14 @@
     bool ask(const QList<Peer> &known, MonotonicTime &missingSince);
     void heartbeat();
     void sendItems(const QList<StoreItem> &items, Revision base, Revision upTo);
-    void received(const Peer &from, const QCborArray &body);
-    void takeEntries(const Peer &from, const FeedMessage &message);
-    void takeConfiguration(const FeedMessage &message);
+    void handleMessage(const Peer &from, const QCborArray &body);
+    void applyEntries(const Peer &from, const FeedMessage &message);
+    void applyConfiguration(const FeedMessage &message);
     StalenessView staleness(const BoundedCopy &copy) const;
     void readIfStale();
-    /// Whether a read of @p copy is due by @p view; draws when the next one is.
-    bool takeReadDue(BoundedCopy &copy, const StalenessView &view);
-    void noteStep(BoundedCopy &copy, const StalenessView &view);
+    /// Whether a read of @p copy is due according to @p view. If so, draws when the next one is.
+    bool checkReadDue(BoundedCopy &copy, const StalenessView &view);
+    void logStepChange(BoundedCopy &copy, const StalenessView &view);
 
     Parts m_parts;
     std::function<qint64()> m_version;
@@ -124,24 +125,25 @@
     BoundedCopy m_configuration;
     BoundedCopy m_targets;
     MonotonicTime m_started;
-    /// When the store last did not serve a call, and until when this daemon follows others for
-    /// that.
-    MonotonicTime m_refusedAt;
-    MonotonicTime m_turnedAwayUntil;
-    /// The configuration is read for its bound although the store refused a call a moment ago.
+    /// When the store last did not serve a call, and until when this daemon relies on others
+    /// because of that.
+    MonotonicTime m_lastRefusal;
+    MonotonicTime m_rejectedUntil;
+    /// The configuration is being read to keep its bound although the store recently refused a
+    /// call.
     bool m_isReadingAgain = false;
-    /// A daemon whose heads have lost the store tries it again itself then; one that was never fed
-    /// does not wait for them, as all may have started together.
-    MonotonicTime m_probeDue;
-    /// Of the group; looked up with each heartbeat.
+    /// When a daemon whose heads have lost the store tries it again itself. A daemon that was never
+    /// fed does not wait for its heads, as all may have started together.
+    MonotonicTime m_nextProbe;
+    /// Whether there is a group, and the rank of this daemon in it; updated with each heartbeat.
     bool m_hasGroup = false;
     int m_rankInGroup = 0;
-    /// Since when the sources have something that this daemon lacks; unset if it lacks nothing.
-    MonotonicTime m_entriesMissing;
-    qint64 m_entriesElsewhere = 0;
-    /// The last heartbeat was ahead of what is here.
+    /// Since when the sources have had something that this daemon lacks; unset if it lacks nothing.
+    MonotonicTime m_entriesMissingSince;
+    qint64 m_peerTargetCount = 0;
+    /// The last heartbeat was ahead of this daemon's entries.
     bool m_wasBehind = false;
-    MonotonicTime m_configurationMissing;
+    MonotonicTime m_configurationMissingSince;
     QHash<VmId, Source> m_sources;
     std::unique_ptr<TimerSubscription> m_timer;
 };
--- a/src/relay/StoreItem.h
+++ b/src/relay/StoreItem.h
@@ -1,15 +1,15 @@
-// Defines StoreItem, one key of the platform's store as a read or a watch shows it.
 #pragma once
 
 #include "platformstore/KeyValue.h"
 
 namespace cranberry {
 
+/// One key of the platform's store as returned by a read or a watch.
 struct StoreItem {
     QString key;
     QByteArray value;
     Revision revision;
-    /// The key was removed at that revision.
+    /// The key was removed at this revision.
     bool isRemoved = false;
 };
 
--- a/src/relay/StoreItemCompression.h
+++ b/src/relay/StoreItemCompression.h
@@ -1,5 +1,3 @@
-// Defines compressItems and decompressItems, which encode items of the platform's store for other
-// daemons.
 #pragma once
 
 #include "relay/StoreItem.h"
@@ -11,7 +9,8 @@
 
 namespace cranberry {
 
-/// Encodes @p items as compressed CBOR. Returns no bytes if there are no items. Thread-safe.
+/// Encodes @p items as compressed CBOR for other daemons. Returns no bytes if there are no items.
+/// Thread-safe.
 QByteArray compressItems(const QList<StoreItem> &items);
 
 /// Decodes the result of compressItems. Returns nullopt if the data is corrupt: with an empty list
--- a/src/relay/StoreMirror.cpp
+++ b/src/relay/StoreMirror.cpp
@@ -15,28 +15,30 @@
 
 namespace {
 
-/// Beyond its wait a watch is answered within some ms; a slow store takes 60 times as long.
-constexpr Milliseconds WatchSlack{600};
-/// A read takes some ms; a slow store takes 60 times as long.
+/// A watch is answered within some milliseconds after its wait. A slow store takes 60 times as
+/// long.
+constexpr Milliseconds WatchTimeoutMargin{600};
+/// A read takes some milliseconds. A slow store takes 60 times as long.
 constexpr Milliseconds ReadTimeout{1500};
 constexpr Milliseconds ConnectTimeout{500};
-/// Pages older than this are read again: what changed since the first one must still be in the
-/// store's history, which may be a few seconds long.
-constexpr Milliseconds ReadHolds{3000};
+/// Pages older than this are read again: the changes since the first page must still be in the
+/// store's history, which may cover only a few seconds.
+constexpr Milliseconds MaxPageAge{3000};
 /// Added to the timeout of a call for the transfer of the response. The configuration document can
 /// be as large as the store's largest value, a megabyte before base64 encoding, and other traffic
 /// may leave it only part of a 10 Mbit/s link.
 constexpr Milliseconds TransferAllowance{5000};
-/// For changes that are there already.
+/// The wait of a watch for changes that already exist.
 constexpr Milliseconds CatchUpWait{100};
-/// All targets of a site announce themselves within a second, and each announcement would end a
-/// watch; so at first a watch follows the last one only after a while. Two or three answers then
-/// carry what comes while a daemon that starts waits for others.
-constexpr Milliseconds StartTime{3000};
-constexpr Milliseconds StartPace{400};
-constexpr Milliseconds FirstBackoff{100};
-/// A target whose entry lapsed with the store is back within two seconds of the store's return.
-constexpr Milliseconds LapseGrace{2000};
+/// All targets of a site register within a second, and each registration would end a watch. During
+/// startup the next watch is therefore opened with a longer delay. Two or three answers then
+/// deliver what is registered while a starting daemon waits for others.
+constexpr Milliseconds StartupPeriod{3000};
+constexpr Milliseconds StartupWatchDelay{400};
+constexpr Milliseconds InitialBackoff{100};
+/// A target whose entry expired during an outage registers again within two seconds of the store's
+/// return.
+constexpr Milliseconds RemovalGrace{2000};
 constexpr int StatusOk = 200;
 
 } // namespace
@@ -65,10 +67,10 @@
                        std::function<void(const StoreAnswer &)> callback)
 {
     ++m_counters.storeCalls;
-    m_callBegan = m_timers.now();
+    m_callStart = m_timers.now();
     HttpExchangeOptions options;
     options.connectTimeout = ConnectTimeout;
-    // An idle connection may have fallen silent: that would be found only after the timeout, and a
+    // Idle connections are not reused: a dead one would be detected only after the timeout, and a
     // new one costs a millisecond.
     options.stallTimeout = timeout;
     options.timeout = timeout + TransferAllowance;
@@ -86,157 +88,159 @@
 
 void StoreMirror::read()
 {
-    // With thousands of keys a read has many pages, and one that begins anew with each refused call
-    // may never end.
-    const bool goesOn = !m_readUpTo.isEmpty() && m_timers.now() - m_readBegan < ReadHolds;
-    if (!goesOn) {
-        m_reading.clear();
-        m_readUpTo.clear();
-        m_readAt = Revision();
-        m_readBegan = m_timers.now();
+    // A read of thousands of keys has many pages. If it began anew with each refused call, it might
+    // never end.
+    const bool isResumed = !m_readCursor.isEmpty() && m_timers.now() - m_readStart < MaxPageAge;
+    if (!isResumed) {
+        m_readItems.clear();
+        m_readCursor.clear();
+        m_readRevision = Revision();
+        m_readStart = m_timers.now();
     }
-    readPage(m_readUpTo);
+    readPage(m_readCursor);
 }
 
 void StoreMirror::readPage(const QString &after)
 {
     m_state = State::Reading;
     call(m_protocol.range(m_prefix, after), ReadTimeout,
-         [this](const StoreAnswer &answer) { pageRead(answer); });
+         [this](const StoreAnswer &answer) { handlePage(answer); });
 }
 
-void StoreMirror::pageRead(const StoreAnswer &answer)
+void StoreMirror::handlePage(const StoreAnswer &answer)
 {
     if (answer.kind != StoreAnswer::Kind::Items) {
-        unavailable();
+        handleUnavailable();
         return;
     }
     m_changedBy = StoreSource::Read;
-    // Pages are not a snapshot: the watch goes on from the first page's revision and repeats
-    // what changed while the later ones were read.
-    if (m_readAt == Revision())
-        m_readAt = answer.asOf;
+    // The pages are not a snapshot: the watch continues from the first page's revision and repeats
+    // what changed while the later pages were read.
+    if (m_readRevision == Revision())
+        m_readRevision = answer.asOf;
     for (const StoreItem &item : answer.items) {
-        m_reading.insert(item.key, item);
-        // The first keys are enough to serve with.
+        m_readItems.insert(item.key, item);
+        // The first keys are enough to start serving.
         if (!m_hasRead)
             put(item);
     }
     if (answer.hasMore && !answer.items.isEmpty()) {
-        m_readUpTo = answer.items.last().key;
-        readPage(m_readUpTo);
+        m_readCursor = answer.items.last().key;
+        readPage(m_readCursor);
         return;
     }
-    m_readUpTo.clear();
-    readDone();
+    m_readCursor.clear();
+    finishRead();
 }
 
-void StoreMirror::readDone()
+void StoreMirror::finishRead()
 {
     if (!m_isCurrent) {
-        m_isAway = false;
+        m_isOutageLogged = false;
         logEvent(LogLevel::Info, EventId::PlatformBack,
                  {{"prefix", m_prefix},
-                  {"keys", QString::number(m_reading.size())},
-                  {"revision", QString::number(m_readAt.value())},
+                  {"keys", QString::number(m_readItems.size())},
+                  {"revision", QString::number(m_readRevision.value())},
                   {"age_ms", QString::number(age().count())}});
     }
-    doubtIfAway();
+    startGraceAfterOutage();
     m_isCurrent = true;
     if (!std::exchange(m_hasRead, true))
-        m_firstReadRevision = m_readAt;
+        m_firstReadRevision = m_readRevision;
     m_needsRead = false;
-    const QHash<QString, StoreItem> read = std::exchange(m_reading, {});
-    // Another daemon may have told something newer since the first page was read.
-    if (!(m_readAt < m_revision))
+    const QHash<QString, StoreItem> read = std::exchange(m_readItems, {});
+    // Another daemon may have sent something newer since the first page was read.
+    if (!(m_readRevision < m_revision))
         applyRead(read);
-    // Not before: the callbacks of applyRead() report the age of the copy that it replaces.
-    confirm(m_readBegan, StoreSource::Read);
-    watch();
+    // This comes last, as the callbacks of applyRead() report the age of the copy that it replaces.
+    confirm(m_readStart, StoreSource::Read);
+    scheduleWatch();
 }
 
 void StoreMirror::applyRead(const QHash<QString, StoreItem> &read)
 {
-    m_revision = m_readAt;
+    m_revision = m_readRevision;
     const QList<QString> known = m_items.keys();
     for (const QString &key : known) {
         if (!read.contains(key))
-            removed(key, m_readAt);
+            handleRemoval(key, m_readRevision);
     }
     for (const StoreItem &item : read)
         put(item);
 }
 
-void StoreMirror::watch()
+void StoreMirror::scheduleWatch()
 {
     if (m_feed.isFed()) {
         m_state = State::Fed;
         return;
     }
-    const bool isStarting = m_timers.now() - m_started < StartTime;
+    const bool isStarting = m_timers.now() - m_started < StartupPeriod;
     m_state = State::Watching;
-    m_timer = m_timers.after(isStarting ? StartPace : m_feed.pace(), [this] { openWatch(); });
+    m_timer = m_timers.after(isStarting ? StartupWatchDelay : m_feed.watchDelay(),
+                             [this] { openWatch(); });
 }
 
 void StoreMirror::openWatch()
 {
     m_state = State::Watching;
     const Milliseconds wait = m_watchWait();
-    watchFor(wait, wait + WatchSlack);
+    sendWatch(wait, wait + WatchTimeoutMargin);
 }
 
-void StoreMirror::watchFor(Milliseconds wait, Milliseconds timeout)
+void StoreMirror::sendWatch(Milliseconds wait, Milliseconds timeout)
 {
-    m_wait = wait;
+    m_openWatchWait = wait;
     call(m_protocol.watch(m_prefix, m_revision, wait), timeout,
-         [this](const StoreAnswer &answer) { watched(answer); });
+         [this](const StoreAnswer &answer) { handleWatchAnswer(answer); });
 }
 
-MonotonicTime StoreMirror::watchedUntil(const StoreAnswer &answer) const
+MonotonicTime StoreMirror::confirmedUntil(const StoreAnswer &answer) const
 {
-    // An answer with changes says nothing of what followed them; one without stands for its whole
-    // wait.
-    const bool waitedInVain = answer.items.isEmpty() && m_timers.now() - m_callBegan >= m_wait;
-    return waitedInVain ? m_callBegan + m_wait : m_callBegan;
+    // An answer with changes tells nothing about the time after them; one without changes covers
+    // its whole wait.
+    const bool isFullWait =
+        answer.items.isEmpty() && m_timers.now() - m_callStart >= m_openWatchWait;
+    return isFullWait ? m_callStart + m_openWatchWait : m_callStart;
 }
 
-void StoreMirror::watched(const StoreAnswer &answer)
+void StoreMirror::handleWatchAnswer(const StoreAnswer &answer)
 {
     m_isCatchingUp = false;
     if (answer.kind == StoreAnswer::Kind::Compacted) {
         logEvent(LogLevel::Info, EventId::StoreCompacted,
                  {{"prefix", m_prefix}, {"revision", QString::number(m_revision.value())}});
         m_needsRead = true;
-        m_readUpTo.clear();
+        m_readCursor.clear();
         read();
         return;
     }
     if (answer.kind == StoreAnswer::Kind::Unavailable) {
-        unavailable();
+        handleUnavailable();
         return;
     }
     if (!m_isCurrent) {
-        m_isAway = false;
+        m_isOutageLogged = false;
         logEvent(LogLevel::Info, EventId::PlatformBack,
                  {{"prefix", m_prefix},
                   {"revision", QString::number(answer.asOf.value())},
                   {"age_ms", QString::number(age().count())}});
-        doubtIfAway();
+        startGraceAfterOutage();
         m_isCurrent = true;
     }
     const Revision base = m_revision;
     m_changedBy = StoreSource::Watch;
     apply(answer);
-    confirm(watchedUntil(answer), StoreSource::Watch);
-    m_feed.changed(answer, base);
-    watch();
+    confirm(confirmedUntil(answer), StoreSource::Watch);
+    m_feed.onChanges(answer, base);
+    scheduleWatch();
 }
 
 void StoreMirror::apply(const StoreAnswer &answer)
 {
     for (const StoreItem &item : answer.items) {
         if (item.isRemoved)
-            removed(item.key, item.revision);
+            handleRemoval(item.key, item.revision);
         else
             put(item);
     }
@@ -251,10 +255,10 @@
     read();
 }
 
-bool StoreMirror::fed(const StoreAnswer &answer, Revision base)
+bool StoreMirror::applyFeed(const StoreAnswer &answer, Revision base)
 {
-    // What the store does not tell this daemon others do.
-    if (m_state == State::Pausing) {
+    // Other daemons deliver what the store does not deliver to this one.
+    if (m_state == State::BackingOff) {
         m_timer.reset();
         m_state = State::Fed;
     }
@@ -262,8 +266,8 @@
         return false;
     const bool follows = m_hasRead && base <= m_revision;
     if (follows) {
-        feedBack();
-        // An older message may come late; a key that was removed since would be there again.
+        noteFeedRestored();
+        // An older message may arrive late and would restore a key that was removed since.
         m_changedBy = StoreSource::Feed;
         if (answer.asOf > m_revision)
             apply(answer);
@@ -271,7 +275,7 @@
     }
     if (m_feed.askPeers())
         return false;
-    // A message was lost: the store still has what it said.
+    // A message was lost; the store still has its changes.
     if (m_hasRead)
         catchUp();
     else
@@ -283,7 +287,7 @@
 {
     m_state = State::Watching;
     m_isCatchingUp = true;
-    watchFor(CatchUpWait, ReadTimeout);
+    sendWatch(CatchUpWait, ReadTimeout);
 }
 
 void StoreMirror::refresh()
@@ -296,12 +300,12 @@
         catchUp();
 }
 
-void StoreMirror::noteAway(const char *by)
+void StoreMirror::noteOutage(const char *by)
 {
     m_isCurrent = false;
-    if (std::exchange(m_isAway, true))
+    if (std::exchange(m_isOutageLogged, true))
         return;
-    m_wasAway = m_hasRead;
+    m_hadOutage = m_hasRead;
     logEvent(LogLevel::Warning, EventId::PlatformDown,
              {{"prefix", m_prefix},
               {"revision", QString::number(m_revision.value())},
@@ -310,34 +314,34 @@
               {"confirmed_by", QLatin1String(textOf(m_confirmedBy))}});
 }
 
-void StoreMirror::feedBack()
+void StoreMirror::noteFeedRestored()
 {
     if (m_isCurrent)
         return;
-    m_isAway = false;
+    m_isOutageLogged = false;
     logEvent(LogLevel::Info, EventId::PlatformBack,
              {{"prefix", m_prefix},
               {"revision", QString::number(m_revision.value())},
               {"by", "feed"},
               {"age_ms", QString::number(age().count())}});
-    doubtIfAway();
+    startGraceAfterOutage();
     m_isCurrent = true;
 }
 
-void StoreMirror::doubtIfAway()
+void StoreMirror::startGraceAfterOutage()
 {
-    const bool wasAway = std::exchange(m_wasAway, false);
-    // The store served somebody when the copy was last confirmed.
-    const bool mayHaveLapsed = m_keysLapse && age() >= m_lapseAfter;
-    if (wasAway && mayHaveLapsed)
-        m_doubtUntil = m_timers.now() + LapseGrace;
+    const bool wasAway = std::exchange(m_hadOutage, false);
+    // The store served some daemon when the copy was last confirmed, so the age bounds the outage.
+    const bool mayHaveExpired = m_keysExpire && age() >= m_minExpiryOutage;
+    if (wasAway && mayHaveExpired)
+        m_removalGraceEnd = m_timers.now() + RemovalGrace;
 }
 
 void StoreMirror::checkFeed()
 {
     const bool isFed = m_feed.isFed();
     if (m_state == State::Watching && isFed && !m_isCatchingUp) {
-        // A long watch would cost a call with each change until it ends.
+        // The open watch would cost a call for each change until it ends.
         m_call.reset();
         m_timer.reset();
         m_state = State::Fed;
@@ -345,84 +349,86 @@
     }
     if (m_state != State::Fed || isFed)
         return;
-    // The daemons that watched for this one are gone, or the store is: the own watch will tell.
+    // The daemons that watched for this one are gone, or the store is; the mirror's own watch will
+    // tell.
     if (m_isCurrent)
-        noteAway("feed");
-    if (m_feed.holdsBack())
+        noteOutage("feed");
+    if (m_feed.defersStoreCalls())
         return;
     logEvent(LogLevel::Info, EventId::StoreProbed,
              {{"prefix", m_prefix},
               {"call", m_needsRead ? QStringLiteral("read") : QStringLiteral("watch")},
               {"age_ms", QString::number(age().count())}});
-    // Others may wait for the outcome, so that it must not depend on when something changes.
+    // Others may wait for the outcome, so it must not depend on when something changes.
     if (m_needsRead)
         read();
     else
         catchUp();
 }
 
-void StoreMirror::unavailable()
+void StoreMirror::handleUnavailable()
 {
-    noteAway("store");
-    m_feed.lost();
-    m_state = State::Pausing;
-    // A watch that is cut may have heard nothing for a while, and one that goes on from there may
-    // hear nothing either: the store forgets history and says so only later. A read shows what is
-    // there.
+    noteOutage("store");
+    m_feed.onUnavailable();
+    m_state = State::BackingOff;
+    // A watch that was cut may have missed changes, and one that continues from its revision may
+    // miss them as well: the store compacts its history and reports it only later. A read shows the
+    // current keys.
     m_needsRead = true;
-    if (m_feed.isFed() || m_feed.holdsBack()) {
+    if (m_feed.isFed() || m_feed.defersStoreCalls()) {
         m_state = State::Fed;
         return;
     }
-    m_backoff = m_backoff.count() == 0 ? FirstBackoff : std::min(2 * m_backoff, m_longestBackoff());
-    // Daemons that lost the store together do not come back together.
+    m_backoff = m_backoff.count() == 0 ? InitialBackoff : std::min(2 * m_backoff, m_maxBackoff());
+    // The random delay keeps daemons that lost the store together from retrying together.
     const double part = 0.5 + 0.5 * QRandomGenerator::global()->generateDouble();
-    again(std::chrono::duration_cast<Milliseconds>(part * m_backoff));
+    retryAfter(std::chrono::duration_cast<Milliseconds>(part * m_backoff));
 }
 
-void StoreMirror::again(Milliseconds delay)
+void StoreMirror::retryAfter(Milliseconds delay)
 {
-    m_timer = m_timers.after(delay, [this] { m_needsRead ? read() : watch(); });
+    m_timer = m_timers.after(delay, [this] { m_needsRead ? read() : scheduleWatch(); });
 }
 
 void StoreMirror::put(const StoreItem &item)
 {
-    m_missing.remove(item.key);
+    m_pendingRemovals.remove(item.key);
     const auto known = m_items.constFind(item.key);
     if (known != m_items.cend() && known->revision >= item.revision)
         return;
     m_items.insert(item.key, item);
-    m_newest = std::max(m_newest, item.revision);
+    m_newestRevision = std::max(m_newestRevision, item.revision);
     m_callbacks.put(item);
 }
 
-void StoreMirror::removed(const QString &key, Revision revision)
+void StoreMirror::handleRemoval(const QString &key, Revision revision)
 {
     if (m_items.contains(key))
-        m_newest = std::max(m_newest, revision);
-    removeLater(key);
+        m_newestRevision = std::max(m_newestRevision, revision);
+    removeAfterGrace(key);
 }
 
-void StoreMirror::removeLater(const QString &key)
+void StoreMirror::removeAfterGrace(const QString &key)
 {
     if (!m_items.contains(key))
         return;
-    if (m_timers.now() >= m_doubtUntil) {
+    if (m_timers.now() >= m_removalGraceEnd) {
         m_items.remove(key);
         m_callbacks.removed(key);
         return;
     }
-    m_missing.insert(key, m_doubtUntil);
-    m_missingTimer = m_timers.after(
-        std::chrono::duration_cast<Milliseconds>(m_doubtUntil - m_timers.now()) + Milliseconds(1),
-        [this] { removeMissing(); });
+    m_pendingRemovals.insert(key, m_removalGraceEnd);
+    m_pendingRemovalTimer =
+        m_timers.after(std::chrono::duration_cast<Milliseconds>(m_removalGraceEnd - m_timers.now())
+                           + Milliseconds(1),
+                       [this] { retryPendingRemovals(); });
 }
 
-void StoreMirror::removeMissing()
+void StoreMirror::retryPendingRemovals()
 {
-    const QHash<QString, MonotonicTime> missing = std::exchange(m_missing, {});
+    const QHash<QString, MonotonicTime> missing = std::exchange(m_pendingRemovals, {});
     for (auto entry = missing.cbegin(); entry != missing.cend(); ++entry)
-        removeLater(entry.key());
+        removeAfterGrace(entry.key());
 }
 
 void StoreMirror::confirm(MonotonicTime freshAsOf, StoreSource by)
@@ -437,7 +443,7 @@
 
 Revision StoreMirror::requiredPeerRevision() const
 {
-    return std::max(m_newest, m_firstReadRevision);
+    return std::max(m_newestRevision, m_firstReadRevision);
 }
 
 Milliseconds StoreMirror::age() const
@@ -447,25 +453,25 @@
     return std::chrono::duration_cast<Milliseconds>(m_timers.now() - m_freshAsOf);
 }
 
-void StoreMirror::takeFrom(const QList<StoreItem> &changed, const QSet<QString> &keys,
-                           Revision revision)
+void StoreMirror::mergePeerCopy(const QList<StoreItem> &changed, const QSet<QString> &keys,
+                                Revision revision)
 {
     if (revision <= m_revision)
         return;
     m_changedBy = StoreSource::Peer;
     if (!m_hasRead)
         m_firstReadRevision = revision;
-    doubtIfAway();
+    startGraceAfterOutage();
     for (const StoreItem &item : changed)
         put(item);
     const QList<QString> known = m_items.keys();
     for (const QString &key : known) {
         if (!keys.contains(key))
-            removed(key, revision);
+            handleRemoval(key, revision);
     }
     m_revision = revision;
     m_hasRead = true;
-    // The next answer of the store itself stands for a later revision.
+    // No read is needed: the next answer of the store itself is for a later revision.
     m_needsRead = false;
 }
 
--- a/src/relay/StoreMirror.h
+++ b/src/relay/StoreMirror.h
@@ -1,4 +1,3 @@
-// Defines StoreMirror, a daemon's copy of some keys of the platform's store.
 #pragma once
 
 #include "base/LatencyHistogram.h"
@@ -29,25 +28,27 @@
     std::function<void(const QString &key)> removed;
 };
 
-/// By which other daemons watch for this one.
+/// Connects a mirror to the other daemons that watch the store for it.
 struct StoreMirrorFeed {
-    /// Others send what changes, so that no watch is needed.
+    /// Whether other daemons send the changes, so that no own watch is needed.
     std::function<bool()> isFed = [] { return false; };
-    /// Nobody feeds it, and yet it is better to wait than to call the store.
-    std::function<bool()> holdsBack = [] { return false; };
-    /// How long after an answer the next watch is opened.
-    std::function<Milliseconds()> pace = [] { return Milliseconds(0); };
-    /// An own call brought @p answer beyond @p base.
-    std::function<void(const StoreAnswer &answer, Revision base)> changed = [](const StoreAnswer &,
-                                                                               Revision) {};
-    /// Something is missing here that others have; true if they were asked for it.
+    /// Whether the mirror waits instead of calling the store although no other daemon feeds it.
+    std::function<bool()> defersStoreCalls = [] { return false; };
+    /// The delay between an answer and the next watch.
+    std::function<Milliseconds()> watchDelay = [] { return Milliseconds(0); };
+    /// Called when the mirror's own watch is answered: @p answer holds the changes after @p base.
+    std::function<void(const StoreAnswer &answer, Revision base)> onChanges =
+        [](const StoreAnswer &, Revision) {};
+    /// Called when others have something that is missing here. Returns whether they were asked for
+    /// it.
     std::function<bool()> askPeers = [] { return false; };
-    /// The store did not serve a call.
-    std::function<void()> lost = [] {};
+    /// Called when the store did not serve a call.
+    std::function<void()> onUnavailable = [] {};
 };
 
-/// Reads all keys under a prefix once and then follows a watch. It goes on with what it has while
-/// the store is away, and reads anew when the store has forgotten what happened meanwhile.
+/// A daemon's copy of the keys under a prefix of the platform's store. Reads them
+/// once and then follows a watch. Keeps its contents while the store is unavailable, and
+/// reads again if the store has compacted the history since.
 /// Thread safety: only from the thread of the event loop.
 class StoreMirror
 {
@@ -57,74 +58,84 @@
                 const StoreProtocol &protocol, RelayCounters &counters, QString prefix);
     ~StoreMirror();
 
-    /// A watch is answered after @p wait at the latest, so that a store that has fallen silent is
-    /// found about that late. Shorter waits cost more calls. Precondition: not started.
+    /// Sets the time after which a watch is answered at the latest. A store that stops answering
+    /// without closing its connections is detected after about this time. Shorter waits cost more
+    /// calls. Precondition: not started.
     void setWatchWait(std::function<Milliseconds()> wait) { m_watchWait = std::move(wait); }
-    /// The longest pause between calls to a store that does not answer. Precondition: not started.
-    void setLongestBackoff(std::function<Milliseconds()> longest)
+    /// Sets the maximum pause between calls to a store that does not answer. Precondition: not
+    /// started.
+    void setMaxBackoff(std::function<Milliseconds()> maxBackoff)
     {
-        m_longestBackoff = std::move(longest);
+        m_maxBackoff = std::move(maxBackoff);
     }
-    /// Keys have leases, by default: what is missing after the store was away may come back within
-    /// seconds. Precondition: not started.
-    void setKeysLapse(bool lapse) { m_keysLapse = lapse; }
-    /// A store that was away for less than @p outage has lost no lease for that. Precondition: not
+    /// Sets whether the keys have leases, which is the default: a key that is missing after an
+    /// outage of the store may come back within seconds. Precondition: not started.
+    void setKeysExpire(bool expire) { m_keysExpire = expire; }
+    /// Sets the shortest outage of the store in which a lease can expire. Precondition: not
     /// started.
-    void setLapseAfter(Milliseconds outage) { m_lapseAfter = outage; }
+    void setMinExpiryOutage(Milliseconds outage) { m_minExpiryOutage = outage; }
     /// Precondition: not started.
     void setCallbacks(StoreMirrorCallbacks callbacks) { m_callbacks = std::move(callbacks); }
     /// Precondition: not started.
     void setFeed(StoreMirrorFeed feed) { m_feed = std::move(feed); }
-    /// Reads the store, or waits for others as long as its feed holds it back.
+    /// Reads the store, or waits for other daemons as long as the feed defers calls.
     void start();
-    /// All that the store held at this moment is here, or was replaced by something newer.
+    /// The mirror holds everything that the store held at this time, or something newer.
     MonotonicTime freshAsOf() const { return m_freshAsOf; }
-    /// Another daemon that holds nothing newer is fresh as of that moment.
+    /// Confirms the contents as of @p freshAsOf, for example because another daemon that is fresh
+    /// as of then holds nothing newer.
     void confirm(MonotonicTime freshAsOf, StoreSource by);
-    /// What confirmed freshAsOf().
+    /// The source that confirmed freshAsOf().
     StoreSource confirmedBy() const { return m_confirmedBy; }
-    /// What brought the change that the callbacks are called for.
+    /// The source of the change for which the callbacks are called.
     StoreSource changedBy() const { return m_changedBy; }
-    /// How long ago all that the store held is known to have been here; UnknownAge if it never was.
+    /// The time since the contents were last known to be complete; UnknownAge if they never were.
     Milliseconds age() const;
-    /// The ages just before each confirmation.
+    /// The distribution of the ages just before each confirmation.
     const LatencyHistogram &ages() const { return m_ages; }
-    /// It hears from the store itself or from those that watch for it.
+    /// Whether the mirror receives changes from the store itself or from the daemons that watch it.
     bool hasSource() const { return m_isCurrent || m_feed.isFed(); }
-    /// Others watch for it.
+    /// Whether other daemons watch for the mirror.
     bool isFed() const { return m_state == State::Fed; }
-    /// An own watch is open.
+    /// Whether the mirror's own watch is open.
     bool isWatching() const { return m_isCurrent && m_state == State::Watching; }
-    /// Takes in what a watch of another daemon brought since @p base; false if it does not follow
-    /// on what is here, or an own call is under way.
-    bool fed(const StoreAnswer &answer, Revision base);
-    /// Reads all anew, as another daemon knows of something newer; nothing if it reads already.
+    /// Applies @p answer, the changes after @p base that another daemon's watch returned. Returns
+    /// false if they do not continue from the mirror's revision, or if a call of the mirror is in
+    /// progress.
+    bool applyFeed(const StoreAnswer &answer, Revision base);
+    /// Reads all keys again, as another daemon knows of something newer. Does nothing if a read is
+    /// in progress or a retry is pending.
     void readAgain();
-    /// Asks the store for what changed since; nothing if an own call is under way.
+    /// Asks the store for the changes since revision(). Does nothing if a call of the mirror is in
+    /// progress.
     void refresh();
-    /// A read is under way.
+    /// Whether a read is in progress.
     bool isReading() const { return m_state == State::Reading; }
-    /// Goes back to an own watch if nothing is fed any more.
+    /// Returns to the mirror's own watch if no daemon feeds it any longer, and ends that watch if
+    /// one does.
     void checkFeed();
-    /// All was read at least once.
+    /// Whether all keys were read at least once.
     bool hasRead() const { return m_hasRead; }
-    /// Something is there, though perhaps not all yet.
-    bool hasSome() const { return m_hasRead || !m_items.isEmpty(); }
+    /// Whether the mirror has any contents, which may be incomplete.
+    bool hasAnyContents() const { return m_hasRead || !m_items.isEmpty(); }
     const QHash<QString, StoreItem> &items() const { return m_items; }
-    /// At revision() the key was gone; it is kept for a moment, as its lease may have lapsed.
-    bool isDoubted(const QString &key) const { return m_missing.contains(key); }
+    /// Whether @p key no longer exists at revision() but is kept for a grace period, as its lease
+    /// may have expired during an outage of the store.
+    bool isRemovalPending(const QString &key) const { return m_pendingRemovals.contains(key); }
     Revision revision() const { return m_revision; }
-    /// The keys that it copies begin with it.
+    /// The prefix of the keys that are copied.
     const QString &prefix() const { return m_prefix; }
-    /// The latest change of a key, removals included; of a removal that no watch showed, the
-    /// revision of the read that found it.
-    Revision newest() const { return m_newest; }
-    /// The revision that another copy must have reached to be confirmed by this one: newest(), but
-    /// at least the revision of the first read, because earlier removals are unknown here.
+    /// The revision of the latest change of a key, including removals. For a removal that no watch
+    /// showed, it is the revision of the read that found it.
+    Revision newestRevision() const { return m_newestRevision; }
+    /// The revision that another copy must have reached to be confirmed by this one:
+    /// newestRevision(), but at least the revision of the first read, because earlier removals are
+    /// unknown here.
     Revision requiredPeerRevision() const;
-    /// Takes in what another daemon holds at @p revision, if it is newer: what @p changed since
-    /// revision() and the @p keys that are left.
-    void takeFrom(const QList<StoreItem> &changed, const QSet<QString> &keys, Revision revision);
+    /// Merges the contents of another daemon at @p revision, if they are newer: the items
+    /// @p changed since revision() and the @p keys that still exist.
+    void mergePeerCopy(const QList<StoreItem> &changed, const QSet<QString> &keys,
+                       Revision revision);
 
 private:
     static constexpr Milliseconds DefaultBackoff{800};
@@ -133,34 +144,34 @@
     enum class State {
         Reading,
         Watching,
-        /// Waits to try again.
-        Pausing,
-        /// Others watch, or are expected to.
+        /// Waits before a retry.
+        BackingOff,
+        /// Other daemons watch for the mirror, or are expected to.
         Fed,
     };
 
     void apply(const StoreAnswer &answer);
     void read();
     void readPage(const QString &after);
-    void pageRead(const StoreAnswer &answer);
-    void readDone();
+    void handlePage(const StoreAnswer &answer);
+    void finishRead();
     void applyRead(const QHash<QString, StoreItem> &read);
-    void watch();
+    void scheduleWatch();
     void openWatch();
-    void watchFor(Milliseconds wait, Milliseconds timeout);
-    void watched(const StoreAnswer &answer);
-    MonotonicTime watchedUntil(const StoreAnswer &answer) const;
-    void unavailable();
+    void sendWatch(Milliseconds wait, Milliseconds timeout);
+    void handleWatchAnswer(const StoreAnswer &answer);
+    MonotonicTime confirmedUntil(const StoreAnswer &answer) const;
+    void handleUnavailable();
     void catchUp();
-    void noteAway(const char *by);
-    void feedBack();
-    void doubtIfAway();
-    void again(Milliseconds delay);
+    void noteOutage(const char *by);
+    void noteFeedRestored();
+    void startGraceAfterOutage();
+    void retryAfter(Milliseconds delay);
     void put(const StoreItem &item);
-    /// @p revision: at which it was removed, or found to be gone.
-    void removed(const QString &key, Revision revision);
-    void removeLater(const QString &key);
-    void removeMissing();
+    /// @p revision is that of the removal, or of the read that found the key missing.
+    void handleRemoval(const QString &key, Revision revision);
+    void removeAfterGrace(const QString &key);
+    void retryPendingRemovals();
     void call(const HttpRequest &request, Milliseconds timeout,
               std::function<void(const StoreAnswer &)> callback);
 
@@ -173,45 +184,46 @@
     StoreMirrorCallbacks m_callbacks;
 
     StoreMirrorFeed m_feed;
-    std::function<Milliseconds()> m_longestBackoff = [] { return DefaultBackoff; };
+    std::function<Milliseconds()> m_maxBackoff = [] { return DefaultBackoff; };
 
     State m_state = State::Reading;
     std::function<Milliseconds()> m_watchWait = [] { return DefaultWatchWait; };
     QHash<QString, StoreItem> m_items;
-    QHash<QString, StoreItem> m_reading;
-    /// The last key of the pages that are read, from where an interrupted read goes on.
-    QString m_readUpTo;
-    MonotonicTime m_readBegan;
+    QHash<QString, StoreItem> m_readItems;
+    /// The last key of the pages that were read, from which an interrupted read continues.
+    QString m_readCursor;
+    MonotonicTime m_readStart;
     Revision m_revision;
-    Revision m_newest;
+    Revision m_newestRevision;
     Revision m_firstReadRevision;
-    Revision m_readAt;
-    bool m_keysLapse = true;
-    Milliseconds m_lapseAfter{0};
+    Revision m_readRevision;
+    bool m_keysExpire = true;
+    Milliseconds m_minExpiryOutage{0};
     bool m_isCurrent = false;
-    /// The loss of the store was logged.
-    bool m_isAway = false;
-    /// A call fetches what the feed skipped.
+    /// The current outage of the store was logged.
+    bool m_isOutageLogged = false;
+    /// A call is fetching the changes that the feed skipped.
     bool m_isCatchingUp = false;
-    /// The store was away, and what it tells first may lack entries that lapsed.
-    bool m_wasAway = false;
+    /// The store was unavailable, and its first answers may lack entries whose leases expired.
+    bool m_hadOutage = false;
     bool m_hasRead = false;
     bool m_needsRead = true;
     Milliseconds m_backoff{0};
     MonotonicTime m_started;
-    MonotonicTime m_callBegan;
-    /// How long the watch that is open may wait.
-    Milliseconds m_wait{0};
+    MonotonicTime m_callStart;
+    /// The wait of the watch that is open.
+    Milliseconds m_openWatchWait{0};
     MonotonicTime m_freshAsOf;
     StoreSource m_confirmedBy = StoreSource::None;
     StoreSource m_changedBy = StoreSource::None;
     LatencyHistogram m_ages;
-    /// Removals are doubted until then, as leases may have lapsed while the store was away.
-    MonotonicTime m_doubtUntil;
-    QHash<QString, MonotonicTime> m_missing;
+    /// Removals are deferred until this time, as leases may have expired during an outage of the
+    /// store.
+    MonotonicTime m_removalGraceEnd;
+    QHash<QString, MonotonicTime> m_pendingRemovals;
     std::unique_ptr<HttpExchange> m_call;
     std::unique_ptr<TimerSubscription> m_timer;
-    std::unique_ptr<TimerSubscription> m_missingTimer;
+    std::unique_ptr<TimerSubscription> m_pendingRemovalTimer;
 };
 
 } // namespace cranberry
--- a/src/relay/StoreSource.h
+++ b/src/relay/StoreSource.h
@@ -1,19 +1,19 @@
-// Defines StoreSource, by which way something of the platform's store came to a daemon.
 #pragma once
 
 namespace cranberry {
 
+/// The way by which data of the platform's store reached a daemon.
 enum class StoreSource {
     None,
     Read,
     Watch,
-    /// Messages of daemons that watch for it.
+    /// Messages of daemons that watch the store.
     Feed,
-    /// The answer of a daemon that was asked.
+    /// The response of a daemon to a request.
     Peer,
 };
 
-/// As log lines name it. Thread-safe.
+/// The name of @p source in log lines. Thread-safe.
 const char *textOf(StoreSource source);
 
 } // namespace cranberry
--- a/src/relay/TargetChoice.cpp
+++ b/src/relay/TargetChoice.cpp
@@ -29,8 +29,8 @@
 
 double failurePenalty(const TargetRecord &target, MonotonicTime now)
 {
-    const std::chrono::duration<double> age = now - target.failureSeen;
-    return FailurePenalty * target.failureShare * std::exp2(-age.count() / FailureHalfLife);
+    const std::chrono::duration<double> age = now - target.lastOutcomeAt;
+    return FailurePenalty * target.failureRate * std::exp2(-age.count() / FailureHalfLife);
 }
 
 /// What all daemons have at a target, as far as it is known.
@@ -49,7 +49,7 @@
     load.unread = double(target.ownUnread.value());
     load.running = target.ownRunning;
     for (const PeerLoad &peer : target.peers) {
-        if (now - peer.heard > PeerLoadHolds)
+        if (now - peer.heardAt > PeerLoadTimeout)
             continue;
         load.tokens += double(peer.tokens.value());
         load.backup += double(peer.backup.value());
@@ -71,8 +71,9 @@
     if (hasReport) {
         // What the daemons know of covers their forecasts; what only the engine knows of, such
         // as copies, shows in its report.
-        used = std::max(used, double(target.report->used.value() + target.tokensSince.value()));
-        running = std::max(running, target.report->running + target.placedSince);
+        used =
+            std::max(used, double(target.report->used.value() + target.tokensSinceReport.value()));
+        running = std::max(running, target.report->running + target.placedSinceReport);
     }
     if (!withBackups)
         used = std::max(used - known.backup, known.tokens);
@@ -96,7 +97,7 @@
 {
     const DataCentreId &place = target.entry.dataCentre;
     const bool isKnown =
-        !need.engine || place == need.home || now - target.toldByOwner < PeerLoadHolds;
+        !need.engine || place == need.home || now - target.ownerReportedAt < PeerLoadTimeout;
     return (place == need.dataCentre ? 0 : need.distance.away)
         + (isKnown ? 0 : need.distance.unknown);
 }
@@ -116,7 +117,7 @@
 /// Whether the request may go there at all, whatever the others' scores are.
 bool hasRoom(const TargetRecord &target, const TargetNeed &need, MonotonicTime now)
 {
-    if (target.isPaced(now) && target.coldSendAfter > now)
+    if (target.isPaced(now) && target.nextColdSend > now)
         return false;
     if (!need.engine)
         return true;
@@ -124,7 +125,7 @@
         return false;
     if (!need.readable)
         return true;
-    if (target.spreadUntil > now)
+    if (target.firstUseAfter > now)
         return false;
     const double before = knownLoad(target, now).unread;
     const double slowness = target.isCold(now) ? ColdSlowness : 1;
--- a/src/relay/TargetDirectory.cpp
+++ b/src/relay/TargetDirectory.cpp
@@ -13,28 +13,28 @@
 
 namespace {
 
-/// Weight of the newest request in the share of failures: a target that fails four of ten is
-/// known after about five requests.
+/// Weight of the newest request in the failure rate: a target that fails four of ten requests is
+/// detected after about five requests.
 constexpr double FailureWeight = 0.2;
-/// A target is tried again after this time, doubled with each failure in a row.
-constexpr Milliseconds FirstSuspicion{250};
-constexpr Milliseconds LongestSuspicion{4000};
-/// An engine that has no room is asked again after this time, in which the other daemons tell what
-/// has ended there. With five generations of eight seconds in an engine one ends each 1.6 s.
-constexpr Milliseconds FullFor{100};
+/// A target is tried again after this time, doubled with each consecutive failure.
+constexpr Milliseconds MinSuspicionTime{250};
+constexpr Milliseconds MaxSuspicionTime{4000};
+/// An engine that has no room is asked again after this time, in which the other daemons report
+/// what has ended there. With five generations of eight seconds in an engine, one ends every 1.6 s.
+constexpr Milliseconds FullRetryDelay{100};
 
-/// Daemons with waiting prompts begin to use a new engine within this time, each at a moment of its
-/// own, so that they hear of each other's placements (10 ms and more) before they choose.
-constexpr Milliseconds NewTargetSpread{400};
+/// Daemons with waiting prompts begin to use a new engine within this time, each after a random
+/// delay, so that they hear of each other's placements (10 ms and more) before they choose.
+constexpr Milliseconds MaxFirstUseDelay{400};
 
-/// Engines that are taken away go between 1.5 and 2.1 s after they say so, and the word takes up
-/// to 0.2 s to arrive.
-constexpr Milliseconds LeastNotice{1300};
+/// Engines that are taken away end between 1.5 and 2.1 s after they announce it, and the
+/// announcement takes up to 0.2 s to arrive.
+constexpr Milliseconds MinLeaveNotice{1300};
 
-Milliseconds spreadDelay()
+Milliseconds randomFirstUseDelay()
 {
     const double part = QRandomGenerator::global()->generateDouble();
-    return std::chrono::duration_cast<Milliseconds>(part * NewTargetSpread);
+    return std::chrono::duration_cast<Milliseconds>(part * MaxFirstUseDelay);
 }
 
 void logTarget(EventId event, const TargetRecord &record, const char *reason)
@@ -64,26 +64,26 @@
         TargetRecord record;
         record.entry = entry;
         record.isLeaving = entry.isLeaving;
-        record.spreadUntil = m_timers.now() + spreadDelay();
-        noteCold(record);
+        record.firstUseAfter = m_timers.now() + randomFirstUseDelay();
+        updateColdPeriod(record);
         m_targets.insert(entry.id, record);
         logTarget(EventId::TargetJoined, record, entry.isLeaving ? "leaving" : "ready");
-        roomChanged();
-        tellRoomAt(record.spreadUntil);
+        notifyCapacity();
+        scheduleCapacityNotice(record.firstUseAfter);
         return;
     }
-    // A target that said it leaves does not come back under the same id.
+    // A target that announced that it leaves does not come back under the same id.
     const bool wasWithheld = std::exchange(known->isWithheld, false);
     known->entry = entry;
     known->entry.isLeaving = entry.isLeaving || known->isLeaving;
-    noteCold(*known);
+    updateColdPeriod(*known);
     if (entry.isLeaving)
         markLeaving(entry.id, "entry");
     else if (wasWithheld)
-        roomChanged();
+        notifyCapacity();
 }
 
-void TargetDirectory::startedAgain(const TargetId &target)
+void TargetDirectory::handleRestart(const TargetId &target)
 {
     const auto known = m_targets.find(target);
     if (known == m_targets.end())
@@ -108,19 +108,19 @@
     const auto known = m_targets.find(target);
     if (known == m_targets.end() || known->isLeaving)
         return;
-    leaving(*known, LeastNotice, source);
-    if (m_leavingFirstHand)
-        m_leavingFirstHand(target);
+    startLeaving(*known, MinLeaveNotice, source);
+    if (m_leavingDirect)
+        m_leavingDirect(target);
 }
 
-void TargetDirectory::heardLeaving(const TargetId &target, Milliseconds left)
+void TargetDirectory::markLeavingByPeer(const TargetId &target, Milliseconds left)
 {
     const auto known = m_targets.find(target);
     if (known != m_targets.end() && !known->isLeaving)
-        leaving(*known, left, "peer");
+        startLeaving(*known, left, "peer");
 }
 
-void TargetDirectory::leaving(TargetRecord &record, Milliseconds left, const char *source)
+void TargetDirectory::startLeaving(TargetRecord &record, Milliseconds left, const char *source)
 {
     record.isLeaving = true;
     record.leavesAt = m_timers.now() + left;
@@ -135,34 +135,34 @@
     const auto known = m_targets.find(target);
     if (known == m_targets.end())
         return;
-    known->fullUntil = m_timers.now() + FullFor;
-    tellRoomAt(known->fullUntil);
+    known->fullUntil = m_timers.now() + FullRetryDelay;
+    scheduleCapacityNotice(known->fullUntil);
 }
 
-void TargetDirectory::tellRoomAt(MonotonicTime due)
+void TargetDirectory::scheduleCapacityNotice(MonotonicTime due)
 {
-    if (m_roomLater && m_roomDue <= due)
+    if (m_capacityTimer && m_capacityDue <= due)
         return;
-    m_roomDue = due;
-    // A busy daemon may come to it after that moment; a timer that is due before now never fires,
-    // and the requests that wait for it would not be told.
+    m_capacityDue = due;
+    // A busy daemon may get here after that time. A timer that is due in the past never fires, and
+    // the waiting requests would not be notified.
     const auto delay = std::chrono::ceil<Milliseconds>(due - m_timers.now());
-    m_roomLater = m_timers.after(std::max(delay, Milliseconds(0)), [this] {
-        m_roomLater.reset();
-        roomChanged();
-        tellNextRoom();
+    m_capacityTimer = m_timers.after(std::max(delay, Milliseconds(0)), [this] {
+        m_capacityTimer.reset();
+        notifyCapacity();
+        scheduleNextCapacityNotice();
     });
 }
 
-void TargetDirectory::tellNextRoom()
+void TargetDirectory::scheduleNextCapacityNotice()
 {
     const MonotonicTime now = m_timers.now();
     for (const TargetRecord &record : std::as_const(m_targets)) {
-        const MonotonicTime mayBeSent = record.isPaced(now) ? record.coldSendAfter : now;
+        const MonotonicTime mayBeSent = record.isPaced(now) ? record.nextColdSend : now;
         for (const MonotonicTime due :
-             {record.fullUntil, record.spreadUntil, record.coldUntil, mayBeSent}) {
+             {record.fullUntil, record.firstUseAfter, record.coldUntil, mayBeSent}) {
             if (due > now)
-                tellRoomAt(due);
+                scheduleCapacityNotice(due);
         }
     }
 }
@@ -174,12 +174,13 @@
         return;
     m_removed.insert(target, true);
     logTarget(EventId::TargetGone, *known, "entry removed");
-    // An entry that could not be read and then ends does not tell what became of the target.
+    // An entry that could not be read and then ends does not show what became of the target.
     if (!known->isLeaving && !known->isWithheld && m_crashed)
         m_crashed(target);
-    // Not told to others: this daemon may be the only one that the store shows no entry.
+    // Other daemons are not told: this daemon may be the only one that gets no entry from the
+    // store.
     if (!known->isLeaving)
-        leaving(*known, LeastNotice, "entry removed");
+        startLeaving(*known, MinLeaveNotice, "entry removed");
     dropIfUnused(target);
 }
 
@@ -213,12 +214,12 @@
         return;
     const MonotonicTime now = m_timers.now();
     if (known->isPaced(now))
-        known->coldSendAfter = now + m_coldPace(known->entry.service);
+        known->nextColdSend = now + m_coldPace(known->entry.service);
     ++known->ownRunning;
     known->ownTokens += tokens;
-    ++known->placedSince;
-    known->tokensSince += tokens;
-    ownLoadChanged(target, true);
+    ++known->placedSinceReport;
+    known->tokensSinceReport += tokens;
+    notifyOwnLoad(target, true);
 }
 
 void TargetDirectory::promptPlaced(const TargetId &target, Tokens tokens)
@@ -234,11 +235,11 @@
     if (known == m_targets.end())
         return;
     known->ownUnread -= tokens;
-    ownLoadChanged(target, false);
-    roomChanged();
+    notifyOwnLoad(target, false);
+    notifyCapacity();
 }
 
-void TargetDirectory::peerLoad(const TargetId &target, const VmId &peer, const PeerLoad &load)
+void TargetDirectory::setPeerLoad(const TargetId &target, const VmId &peer, const PeerLoad &load)
 {
     const auto known = m_targets.find(target);
     if (known == m_targets.end())
@@ -247,16 +248,16 @@
     const bool isLess = load.tokens < before.tokens || load.unread < before.unread;
     known->peers.insert(peer, load);
     if (isLess)
-        roomChanged();
+        notifyCapacity();
 }
 
 void TargetDirectory::copyOrdered(const TargetId &source, const TargetId &destination,
                                   Milliseconds duration)
 {
-    // Each link by itself, so that a refusal can be taken back.
+    // Each link is updated by itself, so that a refusal can be undone.
     for (const auto &end : {m_targets.find(source), m_targets.find(destination)}) {
         if (end != m_targets.end())
-            end->linkFree = std::max(end->linkFree, m_timers.now()) + duration;
+            end->linkFreeAt = std::max(end->linkFreeAt, m_timers.now()) + duration;
     }
 }
 
@@ -265,11 +266,11 @@
 {
     for (const auto &end : {m_targets.find(source), m_targets.find(destination)}) {
         if (end != m_targets.end())
-            end->linkFree -= duration;
+            end->linkFreeAt -= duration;
     }
 }
 
-QList<TargetId> TargetDirectory::usedByThisDaemon() const
+QList<TargetId> TargetDirectory::targetsInUse() const
 {
     QList<TargetId> used;
     for (const TargetRecord &record : m_targets) {
@@ -279,11 +280,11 @@
     return used;
 }
 
-void TargetDirectory::toldByOwner(const TargetId &target)
+void TargetDirectory::recordOwnerReport(const TargetId &target)
 {
     const auto known = m_targets.find(target);
     if (known != m_targets.end())
-        known->toldByOwner = m_timers.now();
+        known->ownerReportedAt = m_timers.now();
 }
 
 QList<TargetId>
@@ -299,21 +300,23 @@
     return ids;
 }
 
-QList<TargetId> TargetDirectory::emptiest(const DataCentreId &dataCentre,
-                                          const std::function<bool(const ServiceId &)> &hasEngine,
-                                          qsizetype most) const
+QList<TargetId>
+TargetDirectory::leastLoaded(const DataCentreId &dataCentre,
+                             const std::function<bool(const ServiceId &)> &hasEngine,
+                             qsizetype maxCount) const
 {
     QList<std::pair<Tokens, TargetId>> found;
     for (const TargetId &id : withEngine(dataCentre, hasEngine))
-        found.append({loadWithout(id, {}).tokens, id});
+        found.append({loadExcluding(id, {}).tokens, id});
     std::sort(found.begin(), found.end());
     QList<TargetId> ids;
-    for (const auto &[tokens, id] : found.first(std::min(most, found.size())))
+    for (const auto &[tokens, id] : found.first(std::min(maxCount, found.size())))
         ids.append(id);
     return ids;
 }
 
-PeerLoad TargetDirectory::loadWithout(const TargetId &target, const DataCentreId &dataCentre) const
+PeerLoad TargetDirectory::loadExcluding(const TargetId &target,
+                                        const DataCentreId &dataCentre) const
 {
     const TargetRecord *record = find(target);
     PeerLoad sum;
@@ -324,7 +327,7 @@
     sum.backup = record->ownBackup;
     sum.unread = record->ownUnread;
     for (const PeerLoad &peer : record->peers) {
-        if (peer.dataCentre == dataCentre || m_timers.now() - peer.heard > PeerLoadHolds)
+        if (peer.dataCentre == dataCentre || m_timers.now() - peer.heardAt > PeerLoadTimeout)
             continue;
         sum.running += peer.running;
         sum.tokens += peer.tokens;
@@ -334,10 +337,10 @@
     return sum;
 }
 
-void TargetDirectory::ownLoadChanged(const TargetId &target, bool isMore)
+void TargetDirectory::notifyOwnLoad(const TargetId &target, bool isIncrease)
 {
     if (m_ownLoad)
-        m_ownLoad(target, isMore);
+        m_ownLoad(target, isIncrease);
 }
 
 void TargetDirectory::requestEnded(const TargetId &target, Tokens tokens)
@@ -347,9 +350,9 @@
         return;
     --known->ownRunning;
     known->ownTokens -= tokens;
-    ownLoadChanged(target, false);
+    notifyOwnLoad(target, false);
     dropIfUnused(target);
-    roomChanged();
+    notifyCapacity();
 }
 
 void TargetDirectory::backupPlaced(const TargetId &target, Tokens tokens)
@@ -358,7 +361,7 @@
     if (known == m_targets.end())
         return;
     known->ownBackup += tokens;
-    ownLoadChanged(target, true);
+    notifyOwnLoad(target, true);
 }
 
 void TargetDirectory::backupEnded(const TargetId &target, Tokens tokens)
@@ -367,9 +370,9 @@
     if (known == m_targets.end())
         return;
     known->ownBackup -= tokens;
-    ownLoadChanged(target, false);
+    notifyOwnLoad(target, false);
     dropIfUnused(target);
-    roomChanged();
+    notifyCapacity();
 }
 
 void TargetDirectory::tokensAdded(const TargetId &target, Tokens tokens)
@@ -378,47 +381,47 @@
     if (known == m_targets.end())
         return;
     known->ownTokens += tokens;
-    ownLoadChanged(target, false);
+    notifyOwnLoad(target, false);
 }
 
-void TargetDirectory::succeeded(const TargetId &target)
+void TargetDirectory::recordSuccess(const TargetId &target)
 {
     const auto known = m_targets.find(target);
     if (known == m_targets.end())
         return;
-    known->failureShare *= 1 - FailureWeight;
-    known->failureSeen = m_timers.now();
-    if (known->failuresInRow > 0)
+    known->failureRate *= 1 - FailureWeight;
+    known->lastOutcomeAt = m_timers.now();
+    if (known->consecutiveFailures > 0)
         logTarget(EventId::TargetCleared, *known, "answered");
-    known->failuresInRow = 0;
+    known->consecutiveFailures = 0;
     known->suspectUntil = {};
 }
 
-void TargetDirectory::failed(const TargetId &target, const char *how)
+void TargetDirectory::recordFailure(const TargetId &target, const char *how)
 {
     const auto known = m_targets.find(target);
     if (known == m_targets.end())
         return;
-    known->failureShare += FailureWeight * (1 - known->failureShare);
-    known->failureSeen = m_timers.now();
-    const int doublings = std::min(known->failuresInRow, 6);
-    ++known->failuresInRow;
-    const Milliseconds pause = std::min(FirstSuspicion * (1 << doublings), LongestSuspicion);
+    known->failureRate += FailureWeight * (1 - known->failureRate);
+    known->lastOutcomeAt = m_timers.now();
+    const int doublings = std::min(known->consecutiveFailures, 6);
+    ++known->consecutiveFailures;
+    const Milliseconds pause = std::min(MinSuspicionTime * (1 << doublings), MaxSuspicionTime);
     known->suspectUntil = m_timers.now() + pause;
     logTarget(EventId::TargetSuspected, *known, how);
 }
 
-void TargetDirectory::reported(const TargetId &target, const EngineReport &report)
+void TargetDirectory::recordReport(const TargetId &target, const EngineReport &report)
 {
     const auto known = m_targets.find(target);
     if (known == m_targets.end())
         return;
-    // An entry that names no start says nothing of which one reports.
-    const bool namesStart = known->entry.incarnation != Incarnation();
-    if (namesStart && report.incarnation && *report.incarnation != known->entry.incarnation) {
-        // The address answers for another start; the entry of the newer one may come late.
+    // An entry without an incarnation does not show which one the report is from.
+    const bool namesIncarnation = known->entry.incarnation != Incarnation();
+    if (namesIncarnation && report.incarnation && *report.incarnation != known->entry.incarnation) {
+        // The address belongs to another incarnation; the entry of a newer one may arrive late.
         if (*report.incarnation > known->entry.incarnation)
-            startedAgain(target);
+            handleRestart(target);
         return;
     }
     known->report = report;
@@ -429,17 +432,17 @@
                  {{"target", target.text()},
                   {"leaves_in_ms", QString::number(report.leavesIn->count())}});
     }
-    known->placedSince = 0;
-    known->tokensSince = Tokens(0);
+    known->placedSinceReport = 0;
+    known->tokensSinceReport = Tokens(0);
     if (report.isLeaving)
         markLeaving(target, "report");
-    roomChanged();
+    notifyCapacity();
 }
 
-void TargetDirectory::roomChanged()
+void TargetDirectory::notifyCapacity()
 {
-    if (m_room)
-        m_room();
+    if (m_capacityFreed)
+        m_capacityFreed();
 }
 
 } // namespace cranberry
--- a/src/relay/TargetDirectory.h
+++ b/src/relay/TargetDirectory.h
@@ -1,4 +1,3 @@
-// Defines TargetDirectory, all targets that a daemon knows and what it has seen of them.
 #pragma once
 
 #include "relay/TargetRecord.h"
@@ -16,129 +15,134 @@
 class TimerService;
 class TimerSubscription;
 
+/// All targets that a daemon knows and what it has observed of them. TargetDirectoryWork.cpp
+/// implements the part that decides which targets take new work, and how much.
 /// Thread safety: only from the thread of the event loop.
 class TargetDirectory
 {
 public:
     using LeavingCallback = std::function<void(const TargetId &target)>;
-    using OwnLoadCallback = std::function<void(const TargetId &target, bool isMore)>;
+    using OwnLoadCallback = std::function<void(const TargetId &target, bool isIncrease)>;
     using ChangedCallback = std::function<void()>;
 
     /// Precondition: @p timers outlives the directory.
     explicit TargetDirectory(TimerService &timers);
     ~TargetDirectory();
 
-    /// Takes in an entry that is new or has changed.
+    /// Adds or updates the entry of a target.
     void put(const RelayTarget &entry);
-    /// The target is gone; its record stays while requests or copies are at it.
+    /// Removes a target whose entry is gone. Its record stays while requests or copies are at it.
     void remove(const TargetId &target);
-    /// The target has ended and started anew under another id: its requests are lost.
-    void startedAgain(const TargetId &target);
-    /// It takes no new work until its next entry.
+    /// Handles the restart of a target under another id: its requests are lost.
+    void handleRestart(const TargetId &target);
+    /// Excludes the target from new work until its next entry.
     void withhold(const TargetId &target);
-    /// The target said so itself or through another daemon.
+    /// Marks the target as leaving, as this daemon found out itself. @p source is logged.
     void markLeaving(const TargetId &target, const char *source);
 
-    /// Another daemon says that the target leaves in @p left.
-    void heardLeaving(const TargetId &target, Milliseconds left);
+    /// Marks the target as leaving in @p left, as another daemon reported.
+    void markLeavingByPeer(const TargetId &target, Milliseconds left);
 
-    /// The target said that it has no room for a request.
+    /// Records that the target refused a request for lack of room.
     void markFull(const TargetId &target);
 
-    /// Null if it is not known.
+    /// Null if the target is not known.
     const TargetRecord *find(const TargetId &target) const;
-    /// The operator wants nothing more to be sent to the targets of @p dataCentre, or takes that
-    /// back. What runs there goes on.
+    /// Sets whether the operator evacuates @p dataCentre. Nothing more is sent to the targets of an
+    /// evacuated data centre; what runs there continues.
     void setEvacuated(const DataCentreId &dataCentre, bool isEvacuated);
-    /// @p target is there, stays, and its data centre is not evacuated.
+    /// Whether @p target is known, is neither leaving nor withheld, and its data centre is not
+    /// evacuated.
     bool takesWork(const TargetId &target) const;
     bool isEvacuated(const DataCentreId &dataCentre) const
     {
         return m_evacuated.contains(dataCentre);
     }
     qsizetype evacuatedDataCentres() const { return m_evacuated.size(); }
-    /// All targets of @p service that could take work are in evacuated data centres.
+    /// Whether all targets of @p service that could take work are in evacuated data centres.
     bool isEvacuated(const ServiceId &service) const;
-    /// Targets of @p service that take new work, in the order of their ids.
+    /// The targets of @p service that take new work, ordered by id.
     QList<const TargetRecord *> takingWork(const ServiceId &service) const;
     int count(const ServiceId &service) const;
 
-    /// A request begins or ends at @p target.
+    /// Record that a request begins or ends at @p target.
     void requestPlaced(const TargetId &target, Tokens tokens);
     void requestEnded(const TargetId &target, Tokens tokens);
-    /// Copies of generations that run elsewhere begin or end at @p target.
+    /// Record that copies of generations that run elsewhere begin or end at @p target.
     void backupPlaced(const TargetId &target, Tokens tokens);
     void backupEnded(const TargetId &target, Tokens tokens);
-    /// A request there will take more than was forecast.
+    /// Records that a request at @p target will take more memory than was forecast.
     void tokensAdded(const TargetId &target, Tokens tokens);
-    /// A prompt is at @p target to be read, or has been.
+    /// Record that a prompt waits to be read at @p target, or was read.
     void promptPlaced(const TargetId &target, Tokens tokens);
     void promptRead(const TargetId &target, Tokens tokens);
-    /// Another daemon says what it has at @p target.
-    void peerLoad(const TargetId &target, const VmId &peer, const PeerLoad &load);
-    /// A copy of a generation from @p source to @p destination was ordered here or by a peer.
+    /// Sets the load that another daemon reports at @p target.
+    void setPeerLoad(const TargetId &target, const VmId &peer, const PeerLoad &load);
+    /// Records that a copy of a generation from @p source to @p destination was ordered, by this
+    /// daemon or a peer.
     void copyOrdered(const TargetId &source, const TargetId &destination, Milliseconds duration);
-    /// It was refused and takes no link.
+    /// Records that the copy was refused and uses no link.
     void copyRefused(const TargetId &source, const TargetId &destination, Milliseconds duration);
-    /// Targets at which this daemon has requests.
-    QList<TargetId> usedByThisDaemon() const;
-    /// The data centre of @p target told what is there.
-    void toldByOwner(const TargetId &target);
-    /// Targets of @p dataCentre that take work, of the services for which @p hasEngine is true, in
-    /// the order of their ids.
+    /// The targets at which this daemon has requests or copies.
+    QList<TargetId> targetsInUse() const;
+    /// Records that the data centre of @p target reported the load there.
+    void recordOwnerReport(const TargetId &target);
+    /// The targets of @p dataCentre that take work, of the services for which @p hasEngine returns
+    /// true, ordered by id.
     QList<TargetId> withEngine(const DataCentreId &dataCentre,
                                const std::function<bool(const ServiceId &)> &hasEngine) const;
-    /// At most @p most of these, those with the least memory taken first.
-    QList<TargetId> emptiest(const DataCentreId &dataCentre,
-                             const std::function<bool(const ServiceId &)> &hasEngine,
-                             qsizetype most) const;
-    /// What all have there, but for the daemons of @p dataCentre.
-    PeerLoad loadWithout(const TargetId &target, const DataCentreId &dataCentre) const;
-    /// What a request showed of the target.
-    void succeeded(const TargetId &target);
-    void failed(const TargetId &target, const char *how);
-    void reported(const TargetId &target, const EngineReport &report);
-
-    /// @p pace tells the time between two requests of this daemon to a cold target of a service;
-    /// zero is without limit.
+    /// At most @p maxCount of these targets, those with the least memory in use first.
+    QList<TargetId> leastLoaded(const DataCentreId &dataCentre,
+                                const std::function<bool(const ServiceId &)> &hasEngine,
+                                qsizetype maxCount) const;
+    /// The load of all daemons at @p target except those of @p dataCentre.
+    PeerLoad loadExcluding(const TargetId &target, const DataCentreId &dataCentre) const;
+    /// Record the outcome of a request to the target, or a report of the target.
+    void recordSuccess(const TargetId &target);
+    void recordFailure(const TargetId &target, const char *how);
+    void recordReport(const TargetId &target, const EngineReport &report);
+
+    /// Sets the pace for cold targets: @p pace returns the interval between two requests of this
+    /// daemon to a cold target of a service; zero means no limit.
     void setColdPace(std::function<Milliseconds(const ServiceId &)> pace)
     {
         m_coldPace = std::move(pace);
     }
-    /// Called when a target stops to take new work.
+    /// Called when a target stops taking new work.
     void onLeaving(LeavingCallback callback) { m_leaving = std::move(callback); }
-    /// Called when a target says to this daemon, itself or by its entry, that it leaves.
-    void onLeavingFirstHand(LeavingCallback callback) { m_leavingFirstHand = std::move(callback); }
-    /// Called when a target is gone that had not said that it leaves.
+    /// Called when this daemon finds out itself that a target is leaving, from the target or its
+    /// entry.
+    void onLeavingDirect(LeavingCallback callback) { m_leavingDirect = std::move(callback); }
+    /// Called when a target is gone that had not announced that it leaves.
     void onCrashed(LeavingCallback callback) { m_crashed = std::move(callback); }
-    /// Called when a target is gone with all that it ran.
+    /// Called when a target is gone with everything that ran there.
     void onLost(LeavingCallback callback) { m_lost = std::move(callback); }
-    /// Called when a target may take more than before.
-    void onRoom(ChangedCallback callback) { m_room = std::move(callback); }
-    /// Called when what this daemon has at a target becomes more or less.
+    /// Called when a target may take more work than before.
+    void onCapacityFreed(ChangedCallback callback) { m_capacityFreed = std::move(callback); }
+    /// Called when this daemon's load at a target increases or decreases.
     void onOwnLoad(OwnLoadCallback callback) { m_ownLoad = std::move(callback); }
 
 private:
     bool takesWork(const TargetRecord &record) const;
-    void noteCold(TargetRecord &record);
-    void beginPace(TargetRecord &record, const char *reason);
-    void leaving(TargetRecord &record, Milliseconds left, const char *source);
+    void updateColdPeriod(TargetRecord &record);
+    void startPacing(TargetRecord &record, const char *reason);
+    void startLeaving(TargetRecord &record, Milliseconds left, const char *source);
     void dropIfUnused(const TargetId &target);
-    void roomChanged();
-    /// Calls onRoom() when a target that is left out comes back.
-    void tellRoomAt(MonotonicTime due);
-    void tellNextRoom();
-    void ownLoadChanged(const TargetId &target, bool isMore);
+    void notifyCapacity();
+    /// Schedules a call of onCapacityFreed() at @p due, when an excluded target becomes available.
+    void scheduleCapacityNotice(MonotonicTime due);
+    void scheduleNextCapacityNotice();
+    void notifyOwnLoad(const TargetId &target, bool isIncrease);
 
     TimerService &m_timers;
-    std::unique_ptr<TimerSubscription> m_roomLater;
-    MonotonicTime m_roomDue;
+    std::unique_ptr<TimerSubscription> m_capacityTimer;
+    MonotonicTime m_capacityDue;
     QMap<TargetId, TargetRecord> m_targets;
     LeavingCallback m_leaving;
-    LeavingCallback m_leavingFirstHand;
+    LeavingCallback m_leavingDirect;
     LeavingCallback m_crashed;
     LeavingCallback m_lost;
-    ChangedCallback m_room;
+    ChangedCallback m_capacityFreed;
     OwnLoadCallback m_ownLoad;
     QHash<TargetId, bool> m_removed;
     QSet<DataCentreId> m_evacuated;
--- a/src/relay/TargetDirectoryWork.cpp
+++ b/src/relay/TargetDirectoryWork.cpp
@@ -1,4 +1,3 @@
-// The part of TargetDirectory that tells which targets take new work, and how much.
 #include "relay/TargetDirectory.h"
 
 #include "base/EventLog.h"
@@ -14,9 +13,9 @@
 
 namespace {
 
-/// Targets of a data centre that was evacuated may have started again just before that ends, and
-/// say so with their next heartbeat, which is up to 1.2 s and a change of the store away.
-constexpr Milliseconds ReturnsCold{2500};
+/// Targets of an evacuated data centre may have started again just before the evacuation ends. They
+/// report it with their next heartbeat, which takes up to 1.2 s and a change of the store.
+constexpr Milliseconds MaxColdReportDelay{2500};
 
 } // namespace
 
@@ -41,10 +40,10 @@
     for (TargetRecord &record : m_targets) {
         if (record.entry.dataCentre != dataCentre)
             continue;
-        record.maybeColdUntil = m_timers.now() + ReturnsCold;
-        beginPace(record, "evacuation ended");
+        record.maybeColdUntil = m_timers.now() + MaxColdReportDelay;
+        startPacing(record, "evacuation ended");
     }
-    roomChanged();
+    notifyCapacity();
 }
 
 bool TargetDirectory::takesWork(const TargetRecord &record) const
@@ -72,24 +71,24 @@
     return isAnyEvacuated;
 }
 
-void TargetDirectory::noteCold(TargetRecord &record)
+void TargetDirectory::updateColdPeriod(TargetRecord &record)
 {
     const MonotonicTime now = m_timers.now();
     const bool wasCold = record.isCold(now);
     const Milliseconds left = record.entry.coldLeft;
     record.coldUntil = left.count() > 0 ? now + left : std::min(record.coldUntil, now);
-    // It may become cold at any time, not only when it joins.
+    // A target may become cold at any time, not only when it joins.
     if (record.isCold(now) && !wasCold)
-        beginPace(record, "entry");
+        startPacing(record, "entry");
 }
 
-void TargetDirectory::beginPace(TargetRecord &record, const char *reason)
+void TargetDirectory::startPacing(TargetRecord &record, const char *reason)
 {
     const Milliseconds pace = m_coldPace(record.entry.service);
     if (pace.count() == 0)
         return;
     const MonotonicTime now = m_timers.now();
-    record.coldSendAfter = now + firstColdDelay(pace, QRandomGenerator::global()->generateDouble());
+    record.nextColdSend = now + firstColdDelay(pace, QRandomGenerator::global()->generateDouble());
     const auto left = std::chrono::duration_cast<Milliseconds>(
         std::max(record.coldUntil, record.maybeColdUntil) - now);
     logEvent(LogLevel::Info, EventId::TargetCold,
@@ -97,7 +96,7 @@
               {"reason", QLatin1String(reason)},
               {"left_ms", QString::number(left.count())},
               {"pace_ms", QString::number(pace.count())}});
-    tellRoomAt(record.coldSendAfter);
+    scheduleCapacityNotice(record.nextColdSend);
 }
 
 } // namespace cranberry
--- a/src/relay/TargetEntries.cpp
+++ b/src/relay/TargetEntries.cpp
@@ -19,39 +19,39 @@
 {
     const Result<RelayTarget> entry = m_protocol.readTarget(key, value);
     if (entry)
-        read(key, entry.value());
+        apply(key, entry.value());
     else
-        unreadable(key, entry.error().detail);
+        handleUnreadable(key, entry.error().detail);
 }
 
-void TargetEntries::read(const QString &key, const RelayTarget &entry)
+void TargetEntries::apply(const QString &key, const RelayTarget &entry)
 {
     const auto known = m_starts.constFind(key);
     const bool isSame = known != m_starts.cend() && known->target == entry.id;
     if (known != m_starts.cend() && !isSame) {
         if (entry.incarnation < known->incarnation) {
-            // The former start wrote it before it ended; it tells nothing of this one.
+            // The former start wrote this entry before it ended; it does not apply to the new one.
             logEvent(LogLevel::Info, EventId::TargetEntryLate,
                      {{"key", key}, {"known", known->target.text()}, {"came", entry.id.text()}});
             return;
         }
-        m_targets.startedAgain(known->target);
+        m_targets.handleRestart(known->target);
     }
     m_starts.insert(key, {entry.id, entry.incarnation});
     m_targets.put(entry);
 }
 
-void TargetEntries::unreadable(const QString &key, const QString &detail)
+void TargetEntries::handleUnreadable(const QString &key, const QString &detail)
 {
     ++m_counters.unreadableEntries;
     logEvent(LogLevel::Warning, EventId::TargetUnreadable,
              {{"key", key}, {"known", m_starts.value(key).target.text()}, {"detail", detail}});
-    // Another writer overwrote it. The target itself says nothing: it takes no new work until its
-    // next entry, and what runs there goes on.
+    // Another writer overwrote the entry, which says nothing about the target itself: it takes no
+    // new work until its next entry, and what runs there continues.
     m_targets.withhold(m_starts.value(key).target);
 }
 
-void TargetEntries::removed(const QString &key)
+void TargetEntries::remove(const QString &key)
 {
     const auto known = m_starts.constFind(key);
     if (known == m_starts.cend())
--- a/src/relay/TargetEntries.h
+++ b/src/relay/TargetEntries.h
@@ -1,4 +1,3 @@
-// Defines TargetEntries, which turns entries of targets in the store into what a daemon knows.
 #pragma once
 
 #include "base/Ids.h"
@@ -13,9 +12,10 @@
 struct RelayCounters;
 struct StoreProtocol;
 
-/// An entry stands under the name of a target, and each start of the target writes it anew: what
-/// was known of the former start is not true of the new one. Entries of other writers stand there
-/// too, and name no target to use.
+/// Applies the entries of targets in the store to the target directory. The key of an entry is the
+/// name of a target, and each start of the target overwrites the entry: what was known of the
+/// former start does not apply to the new one. Other writers may store entries there that name no
+/// usable target.
 /// Thread safety: only from the thread of the event loop.
 class TargetEntries
 {
@@ -23,10 +23,10 @@
     /// Precondition: everything passed outlives the object.
     TargetEntries(const StoreProtocol &protocol, TargetDirectory &targets, RelayCounters &counters);
 
-    /// The entry @p key was written.
+    /// Applies the entry that was written to @p key.
     void put(const QString &key, const QByteArray &value);
-    /// The entry @p key was removed.
-    void removed(const QString &key);
+    /// Handles the removal of the entry @p key.
+    void remove(const QString &key);
 
 private:
     struct Start {
@@ -34,8 +34,8 @@
         Incarnation incarnation;
     };
 
-    void read(const QString &key, const RelayTarget &entry);
-    void unreadable(const QString &key, const QString &detail);
+    void apply(const QString &key, const RelayTarget &entry);
+    void handleUnreadable(const QString &key, const QString &detail);
 
     const StoreProtocol &m_protocol;
     TargetDirectory &m_targets;
--- a/src/relay/TargetRecord.h
+++ b/src/relay/TargetRecord.h
@@ -1,4 +1,3 @@
-// Defines TargetRecord, what a daemon knows of one target.
 #pragma once
 
 #include "relay/EngineReport.h"
@@ -11,52 +10,55 @@
 
 namespace cranberry {
 
+/// What a daemon knows of one target.
 struct TargetRecord {
     bool isCold(MonotonicTime now) const { return now < coldUntil; }
-    /// What is sent there keeps to a pace.
+    /// Whether the requests sent to the target are paced.
     bool isPaced(MonotonicTime now) const { return isCold(now) || now < maybeColdUntil; }
 
     RelayTarget entry;
-    /// Slow after a start until then.
+    /// The target is slow after a start until this time.
     MonotonicTime coldUntil;
-    /// It may have become cold without having said so yet, until then.
+    /// The target may have become cold without having reported it, until this time.
     MonotonicTime maybeColdUntil;
-    /// While it is or may be cold, this daemon sends it no request before; see coldPace().
-    MonotonicTime coldSendAfter;
+    /// While the target is or may be cold, this daemon sends it no request before this time; see
+    /// coldPace().
+    MonotonicTime nextColdSend;
     bool isLeaving = false;
-    /// Its entry cannot be read; takes no new work meanwhile.
+    /// The target's entry cannot be read; it takes no new work in the meantime.
     bool isWithheld = false;
-    /// When it is gone at the earliest, once it is leaving.
+    /// The earliest time at which the target is gone, once it is leaving.
     MonotonicTime leavesAt;
-    /// Its link is taken by copies of generations until then, as far as they are known.
-    MonotonicTime linkFree;
+    /// The target's link is used by copies of generations until this time, as far as they are
+    /// known.
+    MonotonicTime linkFreeAt;
     /// Requests of this daemon that are at the target now.
     int ownRunning = 0;
-    /// Memory that these will take at most by the forecast.
+    /// Maximum memory that these requests are forecast to take.
     Tokens ownTokens;
-    /// Memory there that copies of generations at other targets take, by the forecast.
+    /// Memory at the target that copies of generations at other targets are forecast to take.
     Tokens ownBackup;
-    /// Prompts of these that have not yielded a token yet.
+    /// Prompts of these requests that have not yielded a token yet.
     Tokens ownUnread;
-    /// What the other daemons say that they have there.
+    /// The loads that the other daemons report at the target.
     QHash<VmId, PeerLoad> peers;
-    /// When its own data centre last told of it; never in a small fleet.
-    MonotonicTime toldByOwner;
-    /// Share of recent requests that the target failed, 0 to 1; newer ones count more.
-    double failureShare = 0;
-    MonotonicTime failureSeen;
-    int failuresInRow = 0;
-    /// Takes no work before, unless no other target can.
+    /// When the target's own data centre last reported its load; never set in a small fleet.
+    MonotonicTime ownerReportedAt;
+    /// Share of recent requests that the target failed, 0 to 1; newer requests count more.
+    double failureRate = 0;
+    MonotonicTime lastOutcomeAt;
+    int consecutiveFailures = 0;
+    /// The target takes no work before this time, unless no other target can.
     MonotonicTime suspectUntil;
-    /// This daemon sends no new prompt there before.
-    MonotonicTime spreadUntil;
-    /// It said that it has no room; asked again from then on.
+    /// This daemon sends no new prompt to the target before this time.
+    MonotonicTime firstUseAfter;
+    /// The target reported that it has no room and is asked again after this time.
     MonotonicTime fullUntil;
     std::optional<EngineReport> report;
     MonotonicTime reportedAt;
-    /// Requests and memory placed there since the report.
-    int placedSince = 0;
-    Tokens tokensSince;
+    /// Requests and memory placed at the target since its last report.
+    int placedSinceReport = 0;
+    Tokens tokensSinceReport;
 };
 
 } // namespace cranberry
--- a/test/correctness/FeedMessage.cpp
+++ b/test/correctness/FeedMessage.cpp
@@ -14,11 +14,11 @@
 FeedMessage messageOf(int items)
 {
     FeedMessage message;
-    message.standing = FeedStanding::Watches;
+    message.role = FeedRole::Watcher;
     message.base = Revision(10);
     message.upTo = Revision(10 + items);
-    message.configuration = Revision(7);
-    message.targets = 68;
+    message.configurationRevision = Revision(7);
+    message.targetCount = 68;
     for (int i = 0; i < items; ++i)
         message.items.append({QStringLiteral("targets/%1").arg(i),
                               QByteArray(250, char('a' + i % 26)), Revision(11 + i), i % 3 == 0});
@@ -32,12 +32,12 @@
     FeedMessage sent = messageOf(5);
     sent.configurationAge = Milliseconds(120);
     sent.targetsAge = Milliseconds(340);
-    const std::optional<FeedMessage> read = decodeFeed(encodeFeed(sent));
+    const std::optional<FeedMessage> read = decodeFeedMessage(encodeFeedMessage(sent));
     BOOST_REQUIRE(read.has_value());
-    BOOST_TEST((read->standing == sent.standing));
+    BOOST_TEST((read->role == sent.role));
     BOOST_TEST((read->base == sent.base && read->upTo == sent.upTo));
-    BOOST_TEST((read->configuration == sent.configuration));
-    BOOST_TEST(read->targets == sent.targets);
+    BOOST_TEST((read->configurationRevision == sent.configurationRevision));
+    BOOST_TEST(read->targetCount == sent.targetCount);
     BOOST_TEST((read->configurationAge == sent.configurationAge));
     BOOST_TEST((read->targetsAge == sent.targetsAge));
     BOOST_REQUIRE(read->items.size() == sent.items.size());
@@ -60,7 +60,7 @@
     qsizetype items = 0;
     for (const FeedMessage &part : parts) {
         BOOST_TEST((part.base == reached));
-        BOOST_TEST(QCborValue(encodeFeed(part)).toCbor().size() < 1400);
+        BOOST_TEST(QCborValue(encodeFeedMessage(part)).toCbor().size() < 1400);
         reached = part.upTo;
         items += part.items.size();
     }
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(DamagedItemsAreNotTakenForNone)
 {
     const FeedMessage sent = messageOf(8);
-    const QCborArray sound = encodeFeed(sent);
+    const QCborArray sound = encodeFeedMessage(sent);
     int refused = 0;
     for (quint32 seed = 1; seed <= 2000; ++seed) {
         QRandomGenerator random(seed);
@@ -100,7 +100,7 @@
         items[at] = char(items[at] ^ char(1 + random.bounded(255)));
         QCborArray damaged = sound;
         damaged[3] = items;
-        const std::optional<FeedMessage> read = decodeFeed(damaged);
+        const std::optional<FeedMessage> read = decodeFeedMessage(damaged);
         refused += read ? 0 : 1;
         BOOST_TEST((!read || read->items.size() == sent.items.size()));
     }
@@ -110,15 +110,15 @@
 // Whatever arrives in place of a message, a daemon does not crash by it.
 BOOST_AUTO_TEST_CASE(DamagedMessagesAreHarmless)
 {
-    const QByteArray sound = QCborValue(encodeFeed(messageOf(8))).toCbor();
+    const QByteArray sound = QCborValue(encodeFeedMessage(messageOf(8))).toCbor();
     for (quint32 seed = 1; seed <= 2000; ++seed) {
         QRandomGenerator random(seed);
         QByteArray damaged = sound;
         for (int changes = 1 + random.bounded(6); changes > 0; --changes)
             damaged[random.bounded(int(damaged.size()))] = char(random.bounded(256));
-        (void)decodeFeed(QCborValue::fromCbor(damaged).toArray());
+        (void)decodeFeedMessage(QCborValue::fromCbor(damaged).toArray());
     }
-    BOOST_TEST(decodeFeed(QCborValue::fromCbor(sound).toArray()).has_value());
-    BOOST_TEST(!decodeFeed({}).has_value());
-    BOOST_TEST(!decodeFeed({3, 0, 0, QByteArray(), 0, 0}).has_value());
+    BOOST_TEST(decodeFeedMessage(QCborValue::fromCbor(sound).toArray()).has_value());
+    BOOST_TEST(!decodeFeedMessage({}).has_value());
+    BOOST_TEST(!decodeFeedMessage({3, 0, 0, QByteArray(), 0, 0}).has_value());
 }
--- a/test/correctness/FeedPlan.cpp
+++ b/test/correctness/FeedPlan.cpp
@@ -27,7 +27,7 @@
 {
     FeedView view;
     view.hasGroup = true;
-    view.isTurnedAway = fleet[self].turnedAway > 0;
+    view.isRejectedByStore = fleet[self].turnedAway > 0;
     for (int other = 0; other < fleet.size(); ++other) {
         if (other == self || !fleet[other].lives)
             continue;
@@ -98,7 +98,7 @@
 {
     FeedView view;
     view.hasGroup = true;
-    view.isTurnedAway = true;
+    view.isRejectedByStore = true;
     BOOST_TEST(watchesStore(view));
     view.watchers = 1;
     BOOST_TEST(!watchesStore(view));
--- a/test/correctness/LoadExchange.cpp
+++ b/test/correctness/LoadExchange.cpp
@@ -22,7 +22,7 @@
 
 qint64 knownTokens(const test::LoadDaemon &daemon, const TargetId &target)
 {
-    return daemon.targets.loadWithout(target, {}).tokens.value();
+    return daemon.targets.loadExcluding(target, {}).tokens.value();
 }
 
 } // namespace
@@ -89,5 +89,5 @@
     fleet.daemon(0, 1).targets.requestPlaced(plain, Tokens(0));
     fleet.daemon(0, 1).targets.requestPlaced(engine, Tokens(50));
     BOOST_REQUIRE(test::waitFor([&] { return knownTokens(fleet.daemon(0, 9), engine) == 50; }));
-    BOOST_TEST(fleet.daemon(0, 9).targets.loadWithout(plain, {}).running == 0);
+    BOOST_TEST(fleet.daemon(0, 9).targets.loadExcluding(plain, {}).running == 0);
 }
--- a/test/correctness/MoveChoice.cpp
+++ b/test/correctness/MoveChoice.cpp
@@ -20,7 +20,7 @@
     engine.memory = Tokens(34000);
     engine.batchSlots = 24;
     engine.bytesPerToken = Bytes(327680);
-    engine.linkMegabits = 47000;
+    engine.linkMegabitsPerSecond = 47000;
     return engine;
 }
 
@@ -58,13 +58,13 @@
     std::vector<MonotonicTime> linkFree;
     linkFree.reserve(engines.size());
     for (const TargetRecord &engine : engines)
-        linkFree.push_back(std::max(Now, engine.linkFree));
+        linkFree.push_back(std::max(Now, engine.linkFreeAt));
     int copied = 0;
     for (const qint64 tokens : held) {
         MoveNeed move = moveOf(tokens);
         QList<const TargetRecord *> targets;
         for (std::size_t i = 0; i < engines.size(); ++i) {
-            engines[i].linkFree = knowsLinks ? linkFree[i] : MonotonicTime();
+            engines[i].linkFreeAt = knowsLinks ? linkFree[i] : MonotonicTime();
             targets.append(&engines[i]);
         }
         move.sourceFree = knowsLinks ? sourceFree : MonotonicTime();
@@ -104,7 +104,7 @@
 BOOST_AUTO_TEST_CASE(TakenLinkIsAvoided)
 {
     TargetRecord taken = engine("taken", "here");
-    taken.linkFree = Now + 700ms;
+    taken.linkFreeAt = Now + 700ms;
     const TargetRecord idle = engine("idle", "there", 3000);
     const MovePick pick = chooseDestination({&taken, &idle}, moveOf(3000), Now);
     BOOST_TEST((pick.target == &idle));
@@ -137,8 +137,8 @@
     const std::vector<qint64> held{3200, 3400, 3600, 3800, 4000, 4200, 4400};
     std::vector<TargetRecord> engines{engine("a", "here", 2000), engine("b", "here", 14000),
                                       engine("c", "there", 0), engine("d", "there", 1000)};
-    engines[0].linkFree = Now + 1200ms;
-    engines[2].linkFree = Now + 1200ms;
+    engines[0].linkFreeAt = Now + 1200ms;
+    engines[2].linkFreeAt = Now + 1200ms;
     const int byLoad = copiedInTime(engines, held, 1700ms, false);
     const int byLinks = copiedInTime(engines, held, 1700ms, true);
     BOOST_TEST_MESSAGE("complete by load " << byLoad << ", with links " << byLinks);
--- a/test/correctness/RelayChoices.cpp
+++ b/test/correctness/RelayChoices.cpp
@@ -189,7 +189,7 @@
 BOOST_AUTO_TEST_CASE(NewEngineIsTakenIntoUseByAndBy)
 {
     TargetRecord fresh = engine("fresh", "here", 0);
-    fresh.spreadUntil = Now + 300ms;
+    fresh.firstUseAfter = Now + 300ms;
     TargetNeed need = needOf(1000);
     // A generation that moves has no prompt to read and may use it at once.
     BOOST_TEST((chooseTarget({&fresh}, need, Now).target == &fresh));
@@ -266,7 +266,7 @@
 {
     TargetRecord unknown = engine("unknown", "there", 0);
     TargetRecord told = engine("told", "there", 6000);
-    told.toldByOwner = Now - 1s;
+    told.ownerReportedAt = Now - 1s;
     TargetNeed need = needOf(1000);
     need.home = need.dataCentre;
     need.distance.unknown = 1;
--- a/test/correctness/StalenessPlan.cpp
+++ b/test/correctness/StalenessPlan.cpp
@@ -174,9 +174,9 @@
     return broken;
 }
 
-StalenessView viewOf(qint64 age, bool isTurnedAway = false)
+StalenessView viewOf(qint64 age, bool isRejectedByStore = false)
 {
-    return {Milliseconds(age), Bound, isTurnedAway, 1, false};
+    return {Milliseconds(age), Bound, isRejectedByStore, 1, false};
 }
 
 } // namespace
--- a/test/correctness/StoreFeed.cpp
+++ b/test/correctness/StoreFeed.cpp
@@ -72,7 +72,7 @@
         const PeerDirectory peers(timers, client, Nowhere, protocol, counters, peerOf(self));
         int before = 0;
         for (int other = 0; other <= Others; ++other)
-            before += other != self && peers.isBefore(peerOf(other)) ? 1 : 0;
+            before += other != self && peers.precedesSelf(peerOf(other)) ? 1 : 0;
         if (before == Others)
             return self;
     }
@@ -89,25 +89,25 @@
     FedDaemon()
     {
         test::ensureApplication();
-        configuration.setKeysLapse(false);
+        configuration.setKeysExpire(false);
         for (StoreMirror *mirror : {&configuration, &entries}) {
             mirror->setCallbacks({[](const StoreItem &) {}, [](const QString &) {}});
             mirror->start();
-            mirror->takeFrom({}, {}, Revision(5));
+            mirror->mergePeerCopy({}, {}, Revision(5));
             mirror->confirm(timers.now(), StoreSource::Read);
         }
-        beat(3 * Heartbeat, FeedStanding::Watches, 0ms);
+        beat(3 * Heartbeat, FeedRole::Watcher, 0ms);
         BOOST_REQUIRE(entries.isFed());
         BOOST_REQUIRE(configuration.isFed());
         calls.clear();
     }
 
-    /// All others are heard, and the first two in the order say @p standing.
-    void beatOnce(FeedStanding standing, Milliseconds targetsAge)
+    /// All others are heard, and the first two in the order say @p role.
+    void beatOnce(FeedRole role, Milliseconds targetsAge)
     {
         FeedMessage heartbeat;
-        heartbeat.standing = standing;
-        heartbeat.base = heartbeat.upTo = heartbeat.configuration = Revision(5);
+        heartbeat.role = role;
+        heartbeat.base = heartbeat.upTo = heartbeat.configurationRevision = Revision(5);
         heartbeat.configurationAge = 0ms;
         heartbeat.targetsAge = targetsAge;
         int heads = 0;
@@ -115,16 +115,16 @@
             const Peer peer = peerOf(number);
             if (peer.vm == peers.self().vm)
                 continue;
-            peers.heard(peer);
+            peers.recordMessage(peer);
             if (heads++ < 2)
-                datagrams.deliver(peer, DatagramKind::StoreChange, encodeFeed(heartbeat));
+                datagrams.deliver(peer, DatagramKind::StoreChange, encodeFeedMessage(heartbeat));
         }
     }
 
-    void beat(Milliseconds duration, FeedStanding standing, Milliseconds targetsAge = UnknownAge)
+    void beat(Milliseconds duration, FeedRole role, Milliseconds targetsAge = UnknownAge)
     {
         for (Milliseconds passed{0}; passed < duration; passed += Heartbeat) {
-            beatOnce(standing, targetsAge);
+            beatOnce(role, targetsAge);
             timers.advance(Heartbeat);
         }
     }
@@ -160,7 +160,7 @@
 BOOST_AUTO_TEST_CASE(FirstCallAfterTheWatchersAreGoneDoesNotWaitForChanges)
 {
     FedDaemon daemon;
-    daemon.beat(4 * Heartbeat, FeedStanding::Away);
+    daemon.beat(4 * Heartbeat, FeedRole::Disconnected);
     const QList<StoreCall> calls = daemon.callsTo(Targets);
     BOOST_REQUIRE(!calls.isEmpty());
     BOOST_TEST(calls.first().wait.count() <= 100);
@@ -170,7 +170,7 @@
 BOOST_AUTO_TEST_CASE(TargetsThatNobodyConfirmsAreReadWithinTheBound)
 {
     FedDaemon daemon;
-    daemon.beat(Bound, FeedStanding::Watches);
+    daemon.beat(Bound, FeedRole::Watcher);
     BOOST_TEST(!daemon.callsTo(Targets).isEmpty());
 }
 
@@ -178,6 +178,6 @@
 BOOST_AUTO_TEST_CASE(ConfirmedCopiesAreNotRead)
 {
     FedDaemon daemon;
-    daemon.beat(5 * Bound, FeedStanding::Watches, Bound / 4);
+    daemon.beat(5 * Bound, FeedRole::Watcher, Bound / 4);
     BOOST_TEST(daemon.calls.isEmpty());
 }
