--- a/test/correctness/StoreMirror.cpp
+++ b/test/correctness/StoreMirror.cpp
@@ -52,7 +52,7 @@
 StalenessView staleAndTurnedAway()
 {
     StalenessView view;
-    view.isTurnedAway = true;
+    view.isRejectedByStore = true;
     return view;
 }
 
@@ -71,7 +71,7 @@
     {
         StoreMirrorFeed feed;
         feed.isFed = [this] { return isFed; };
-        feed.holdsBack = [] { return true; };
+        feed.defersStoreCalls = [] { return true; };
         feed.askPeers = [this] {
             ++asked;
             return true;
@@ -104,13 +104,13 @@
 BOOST_FIXTURE_TEST_CASE(LateMessageBringsNothingBack, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.takeFrom({}, {}, Revision(5));
+    fed.mirror.mergePeerCopy({}, {}, Revision(5));
     const StoreAnswer joined = answerOf({item(Key, 6)}, 6);
-    BOOST_TEST(fed.mirror.fed(joined, Revision(5)));
+    BOOST_TEST(fed.mirror.applyFeed(joined, Revision(5)));
     BOOST_TEST(fed.has(Key));
-    BOOST_TEST(fed.mirror.fed(answerOf({item(Key, 7, true)}, 7), Revision(6)));
+    BOOST_TEST(fed.mirror.applyFeed(answerOf({item(Key, 7, true)}, 7), Revision(6)));
     BOOST_TEST(!fed.has(Key));
-    BOOST_TEST(fed.mirror.fed(joined, Revision(5)));
+    BOOST_TEST(fed.mirror.applyFeed(joined, Revision(5)));
     BOOST_TEST(!fed.has(Key));
 }
 
@@ -119,11 +119,11 @@
 BOOST_FIXTURE_TEST_CASE(GapIsAskedFor, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.takeFrom({}, {}, Revision(5));
-    BOOST_TEST(!fed.mirror.fed(answerOf({item(Key, 9)}, 9), Revision(8)));
+    fed.mirror.mergePeerCopy({}, {}, Revision(5));
+    BOOST_TEST(!fed.mirror.applyFeed(answerOf({item(Key, 9)}, 9), Revision(8)));
     BOOST_TEST(fed.asked == 1);
     BOOST_TEST(!fed.has(Key));
-    fed.mirror.takeFrom({item(Key, 9)}, {Key}, Revision(9));
+    fed.mirror.mergePeerCopy({item(Key, 9)}, {Key}, Revision(9));
     BOOST_TEST(fed.has(Key));
 }
 
@@ -132,7 +132,7 @@
 BOOST_FIXTURE_TEST_CASE(RemovalsBeforeTheFirstReadMayBeMissing, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(9));
+    fed.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(9));
     BOOST_TEST((fed.mirror.requiredPeerRevision() == Revision(9)));
 }
 
@@ -142,11 +142,11 @@
 BOOST_FIXTURE_TEST_CASE(EntriesThatLapsedAreDoubted, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
-    BOOST_TEST(fed.mirror.fed(answerOf({}, 5), Revision(5)));
+    fed.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
+    BOOST_TEST(fed.mirror.applyFeed(answerOf({}, 5), Revision(5)));
     fed.isFed = false;
     fed.mirror.checkFeed();
-    fed.mirror.takeFrom({}, {}, Revision(8));
+    fed.mirror.mergePeerCopy({}, {}, Revision(8));
     BOOST_TEST(fed.has(Key));
     timers.advance(1900ms);
     BOOST_TEST(fed.has(Key));
@@ -158,14 +158,14 @@
 BOOST_FIXTURE_TEST_CASE(RemovalBeforeAnyLeaseCanLapseIsNotDoubted, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.setLapseAfter(2400ms);
-    fed.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
-    BOOST_TEST(fed.mirror.fed(answerOf({}, 5), Revision(5)));
+    fed.mirror.setMinExpiryOutage(2400ms);
+    fed.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
+    BOOST_TEST(fed.mirror.applyFeed(answerOf({}, 5), Revision(5)));
     fed.mirror.confirm(timers.now(), StoreSource::Feed);
     fed.isFed = false;
     fed.mirror.checkFeed();
     timers.advance(1500ms);
-    fed.mirror.takeFrom({}, {}, Revision(8));
+    fed.mirror.mergePeerCopy({}, {}, Revision(8));
     BOOST_TEST(!fed.has(Key));
 }
 
@@ -173,14 +173,14 @@
 BOOST_FIXTURE_TEST_CASE(RemovalAfterLeasesMayHaveLapsedIsDoubted, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.setLapseAfter(2400ms);
-    fed.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
-    BOOST_TEST(fed.mirror.fed(answerOf({}, 5), Revision(5)));
+    fed.mirror.setMinExpiryOutage(2400ms);
+    fed.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
+    BOOST_TEST(fed.mirror.applyFeed(answerOf({}, 5), Revision(5)));
     fed.mirror.confirm(timers.now(), StoreSource::Feed);
     fed.isFed = false;
     fed.mirror.checkFeed();
     timers.advance(2500ms);
-    fed.mirror.takeFrom({}, {}, Revision(8));
+    fed.mirror.mergePeerCopy({}, {}, Revision(8));
     BOOST_TEST(fed.has(Key));
 }
 
@@ -190,14 +190,14 @@
 BOOST_FIXTURE_TEST_CASE(KeysWithoutLeasesAreNotDoubted, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.setKeysLapse(false);
-    fed.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
-    BOOST_TEST(fed.mirror.fed(answerOf({}, 5), Revision(5)));
+    fed.mirror.setKeysExpire(false);
+    fed.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
+    BOOST_TEST(fed.mirror.applyFeed(answerOf({}, 5), Revision(5)));
     fed.isFed = false;
     fed.mirror.checkFeed();
-    fed.mirror.takeFrom({}, {}, Revision(8));
+    fed.mirror.mergePeerCopy({}, {}, Revision(8));
     BOOST_TEST(!fed.has(Key));
-    BOOST_TEST((fed.mirror.newest() == Revision(8)));
+    BOOST_TEST((fed.mirror.newestRevision() == Revision(8)));
 }
 
 // An evacuation was taken back: its key was gone, and the latest change of the keys that were left
@@ -205,14 +205,14 @@
 BOOST_FIXTURE_TEST_CASE(NewestCountsRemovals, Fixture)
 {
     FedMirror fed(timers, client);
-    fed.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
-    BOOST_TEST((fed.mirror.newest() == Revision(4)));
-    BOOST_TEST(fed.mirror.fed(answerOf({item(Key, 7, true)}, 7), Revision(5)));
-    BOOST_TEST((fed.mirror.newest() == Revision(7)));
+    fed.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
+    BOOST_TEST((fed.mirror.newestRevision() == Revision(4)));
+    BOOST_TEST(fed.mirror.applyFeed(answerOf({item(Key, 7, true)}, 7), Revision(5)));
+    BOOST_TEST((fed.mirror.newestRevision() == Revision(7)));
     // Found by a read, which does not say when it was removed.
-    fed.mirror.takeFrom({item(Key, 8)}, {Key}, Revision(8));
-    fed.mirror.takeFrom({}, {}, Revision(12));
-    BOOST_TEST((fed.mirror.newest() == Revision(12)));
+    fed.mirror.mergePeerCopy({item(Key, 8)}, {Key}, Revision(8));
+    fed.mirror.mergePeerCopy({}, {}, Revision(12));
+    BOOST_TEST((fed.mirror.newestRevision() == Revision(12)));
 }
 
 // Messages are lost, repeated and reordered, by seeds. Whatever comes, the daemon never goes back
@@ -222,7 +222,7 @@
     for (quint32 seed = 1; seed <= 300; ++seed) {
         QRandomGenerator random(seed);
         FedMirror fed(timers, client);
-        fed.mirror.takeFrom({}, {}, Revision(1));
+        fed.mirror.mergePeerCopy({}, {}, Revision(1));
         QHash<QString, qint64> store;
         QList<std::pair<StoreAnswer, Revision>> sent;
         for (qint64 revision = 2; revision < 60; ++revision) {
@@ -235,7 +235,7 @@
             for (int copy = random.bounded(3); copy > 0; --copy) {
                 const qsizetype late = random.bounded(int(std::min<qsizetype>(4, sent.size())));
                 const auto &[answer, base] = sent.at(sent.size() - 1 - late);
-                fed.mirror.fed(answer, base);
+                fed.mirror.applyFeed(answer, base);
             }
             BOOST_REQUIRE(!(fed.mirror.revision() < before));
             if (random.bounded(8) > 0)
@@ -244,7 +244,7 @@
             for (auto entry = store.cbegin(); entry != store.cend(); ++entry)
                 whole.append(item(entry.key(), entry.value()));
             const QList<QString> keys = store.keys();
-            fed.mirror.takeFrom(whole, {keys.cbegin(), keys.cend()}, Revision(revision));
+            fed.mirror.mergePeerCopy(whole, {keys.cbegin(), keys.cend()}, Revision(revision));
             BOOST_REQUIRE(fed.mirror.items().size() == store.size());
         }
     }
@@ -264,7 +264,8 @@
               },
               [](ErrorKind) { return HttpResponse(); })
     {
-        told.mirror.takeFrom({item(QStringLiteral("c"), 8)}, {QStringLiteral("c")}, Revision(8));
+        told.mirror.mergePeerCopy({item(QStringLiteral("c"), 8)}, {QStringLiteral("c")},
+                                  Revision(8));
     }
 
     static Peer selfPeer()
@@ -283,7 +284,7 @@
         Peer peer;
         peer.endpoint = {QStringLiteral("127.0.0.1"),
                          listener.listenOn({QStringLiteral("127.0.0.1"), 0}).value()};
-        asking.askSoon(peer);
+        asking.scheduleFetch(peer);
         BOOST_TEST(test::waitFor([&] { return configuration.has(QStringLiteral("c")); }));
     }
 
@@ -309,8 +310,8 @@
 BOOST_AUTO_TEST_CASE(AnswerWithoutEntriesRemovesNone)
 {
     AskingDaemon daemon;
-    daemon.toldEntries.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(9));
-    daemon.entries.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
+    daemon.toldEntries.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(9));
+    daemon.entries.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
     daemon.ask({unknownAge, freshTargets});
     BOOST_TEST(daemon.entries.has(Key));
 }
@@ -319,8 +320,8 @@
 BOOST_AUTO_TEST_CASE(PeersAreNotAskedForTargetsThatTheStoreTells)
 {
     AskingDaemon daemon;
-    daemon.toldEntries.mirror.takeFrom({item(Key, 9)}, {Key}, Revision(9));
-    daemon.entries.mirror.takeFrom({}, {}, Revision(5));
+    daemon.toldEntries.mirror.mergePeerCopy({item(Key, 9)}, {Key}, Revision(9));
+    daemon.entries.mirror.mergePeerCopy({}, {}, Revision(5));
     daemon.ask({unknownAge, unknownAge});
     BOOST_TEST((daemon.entries.mirror.revision() == Revision(5)));
 }
@@ -331,14 +332,14 @@
 {
     AskingDaemon daemon;
     StoreMirror &doubting = daemon.toldEntries.mirror;
-    doubting.takeFrom({item(Key, 4)}, {Key}, Revision(5));
-    BOOST_TEST(doubting.fed(answerOf({}, 5), Revision(5)));
+    doubting.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
+    BOOST_TEST(doubting.applyFeed(answerOf({}, 5), Revision(5)));
     daemon.toldEntries.isFed = false;
     doubting.checkFeed();
     daemon.toldEntries.isFed = true;
-    doubting.takeFrom({}, {}, Revision(9));
+    doubting.mergePeerCopy({}, {}, Revision(9));
     BOOST_REQUIRE(daemon.toldEntries.has(Key));
-    daemon.entries.mirror.takeFrom({item(Key, 4)}, {Key}, Revision(5));
+    daemon.entries.mirror.mergePeerCopy({item(Key, 4)}, {Key}, Revision(5));
     daemon.ask({unknownAge, staleAndTurnedAway});
     BOOST_TEST((daemon.entries.mirror.revision() == Revision(9)));
     BOOST_TEST(!daemon.entries.has(Key));
@@ -367,7 +368,7 @@
                                                HttpEndpoint{QStringLiteral("127.0.0.1"), port},
                                                protocol, counters, QStringLiteral("targets/"));
         mirror->setCallbacks({[](const StoreItem &) {}, [](const QString &) {}});
-        mirror->takeFrom({}, {}, Revision(5));
+        mirror->mergePeerCopy({}, {}, Revision(5));
         mirror->start();
     }
 
@@ -438,10 +439,10 @@
                        counters, QStringLiteral("targets/"));
     StoreMirrorFeed feed;
     feed.isFed = [] { return false; };
-    feed.holdsBack = [] { return false; };
-    feed.pace = [] { return 100ms; };
-    feed.lost = [] {};
-    feed.changed = [](const StoreAnswer &, Revision) {};
+    feed.defersStoreCalls = [] { return false; };
+    feed.watchDelay = [] { return 100ms; };
+    feed.onUnavailable = [] {};
+    feed.onChanges = [](const StoreAnswer &, Revision) {};
     mirror.setFeed(feed);
     mirror.setCallbacks({[](const StoreItem &) {}, [](const QString &) {}});
     mirror.start();
@@ -491,9 +492,9 @@
         Peer peer;
         peer.vm = VmId(QStringLiteral("other"));
         peer.endpoint = {QStringLiteral("127.0.0.1"), server.port()};
-        peers.heard(peer);
-        configuration.mirror.takeFrom({}, {}, Revision(5));
-        entries.mirror.takeFrom({}, {}, Revision(5));
+        peers.recordMessage(peer);
+        configuration.mirror.mergePeerCopy({}, {}, Revision(5));
+        entries.mirror.mergePeerCopy({}, {}, Revision(5));
     }
 
     static bool isFetchOf(const QByteArray &path) { return path.startsWith("/state/5/"); }
@@ -544,8 +545,8 @@
     const QString keptKey = QStringLiteral("c");
     AskingDaemon daemon;
     FedMirror told(daemon.timers, daemon.client);
-    told.mirror.takeFrom({item(keptKey, 8)}, {keptKey}, Revision(10));
-    daemon.toldEntries.mirror.takeFrom({}, {}, Revision(10));
+    told.mirror.mergePeerCopy({item(keptKey, 8)}, {keptKey}, Revision(10));
+    daemon.toldEntries.mirror.mergePeerCopy({}, {}, Revision(10));
     const PeerState answering(daemon.timers, daemon.client, daemon.peers, told.mirror,
                               daemon.toldEntries.mirror, daemon.counters,
                               {freshTargets, freshTargets});
@@ -555,14 +556,14 @@
             answering.handle(request, reply);
         },
         [](ErrorKind) { return HttpResponse(); });
-    daemon.configuration.mirror.takeFrom({item(keptKey, 8), item(removedKey, 4)},
-                                         {keptKey, removedKey}, Revision(8));
-    daemon.entries.mirror.takeFrom({}, {}, Revision(10));
+    daemon.configuration.mirror.mergePeerCopy({item(keptKey, 8), item(removedKey, 4)},
+                                              {keptKey, removedKey}, Revision(8));
+    daemon.entries.mirror.mergePeerCopy({}, {}, Revision(10));
     Peer peer;
     peer.vm = VmId(QStringLiteral("other"));
     peer.endpoint = {QStringLiteral("127.0.0.1"),
                      listener.listenOn({QStringLiteral("127.0.0.1"), 0}).value()};
-    daemon.peers.heard(peer);
+    daemon.peers.recordMessage(peer);
     const PeerState asking(daemon.timers, daemon.client, daemon.peers, daemon.configuration.mirror,
                            daemon.entries.mirror, daemon.counters, {nearlyStale, freshTargets});
     BOOST_TEST(test::waitFor([&] { return !daemon.configuration.has(removedKey); }));
@@ -573,13 +574,13 @@
 BOOST_AUTO_TEST_CASE(FetchedDocumentIsCompressed)
 {
     AskingDaemon daemon;
-    daemon.toldEntries.mirror.takeFrom({}, {}, Revision(5));
+    daemon.toldEntries.mirror.mergePeerCopy({}, {}, Revision(5));
     QByteArray document;
     for (int route = 0; route < 2000; ++route)
         document += "{\"name\":\"r-" + QByteArray::number(stableHash(QString::number(route)), 36)
             + "\",\"host\":\"a.example\",\"kind\":\"unsafe\",\"service\":\"plain\"},";
-    daemon.told.mirror.takeFrom({{QStringLiteral("c"), document, Revision(9), false}},
-                                {QStringLiteral("c")}, Revision(9));
+    daemon.told.mirror.mergePeerCopy({{QStringLiteral("c"), document, Revision(9), false}},
+                                     {QStringLiteral("c")}, Revision(9));
     daemon.ask({unknownAge, freshTargets});
     BOOST_TEST((daemon.configuration.mirror.items().value(QStringLiteral("c")).value == document));
     BOOST_TEST(daemon.counters.peerStateBytesSent < document.size() / 2);
--- a/test/correctness/TargetEntries.cpp
+++ b/test/correctness/TargetEntries.cpp
@@ -69,7 +69,7 @@
     entries.put(Key, "1");
     const TargetId former(QStringLiteral("e@1"));
     targets.requestPlaced(former, Tokens(5000));
-    targets.failed(former, "broken");
+    targets.recordFailure(former, "broken");
     entries.put(Key, "2");
     BOOST_TEST((usable() == QStringList{"e@2"}));
     BOOST_TEST((lost == QStringList{"e@1"}));
@@ -77,7 +77,7 @@
     const TargetRecord *record = targets.find(TargetId(QStringLiteral("e@2")));
     BOOST_REQUIRE(record);
     BOOST_TEST(record->ownRunning == 0);
-    BOOST_TEST(record->failuresInRow == 0);
+    BOOST_TEST(record->consecutiveFailures == 0);
     // A request of the former start ends; it was never at the new one.
     targets.requestEnded(former, Tokens(5000));
     BOOST_TEST(targets.find(TargetId(QStringLiteral("e@2")))->ownRunning == 0);
@@ -97,10 +97,10 @@
 BOOST_FIXTURE_TEST_CASE(ReportOfAnotherStartIsNotThisOnes, Fixture)
 {
     entries.put(Key, "2");
-    targets.reported(TargetId(QStringLiteral("e@2")), reportOf(1));
+    targets.recordReport(TargetId(QStringLiteral("e@2")), reportOf(1));
     BOOST_TEST((usable() == QStringList{"e@2"}));
     // A newer start answers before its entry is known: what ran at the former one is lost.
-    targets.reported(TargetId(QStringLiteral("e@2")), reportOf(3));
+    targets.recordReport(TargetId(QStringLiteral("e@2")), reportOf(3));
     BOOST_TEST((lost == QStringList{"e@2"}));
     BOOST_TEST(usable().isEmpty());
 }
@@ -112,7 +112,7 @@
     entries.put(Key, "0");
     EngineReport report = reportOf(5);
     report.isLeaving = false;
-    targets.reported(TargetId(QStringLiteral("e@0")), report);
+    targets.recordReport(TargetId(QStringLiteral("e@0")), report);
     BOOST_TEST((usable() == QStringList{"e@0"}));
     BOOST_TEST(lost.isEmpty());
 }
@@ -127,6 +127,6 @@
     entries.put(Key, "1");
     BOOST_TEST((usable() == QStringList{"e@1"}));
     entries.put(Key, "junk");
-    entries.removed(Key);
+    entries.remove(Key);
     BOOST_TEST(crashed.isEmpty());
 }
--- a/test/support/LoadFleet.cpp
+++ b/test/support/LoadFleet.cpp
@@ -49,8 +49,9 @@
 {
     loads.setHasEngine(
         [](const ServiceId &service) { return service.text() == QLatin1String("engine"); });
-    targets.onOwnLoad(
-        [this](const TargetId &target, bool isMore) { loads.changed(target, isMore); });
+    targets.onOwnLoad([this](const TargetId &target, bool isIncrease) {
+        loads.handleLoadChange(target, isIncrease);
+    });
     datagrams.listenOn(self.endpoint);
 }
 
@@ -68,7 +69,7 @@
     }
     for (const auto &daemon : m_daemons) {
         for (const Peer &peer : std::as_const(all))
-            daemon->peers.heard(peer);
+            daemon->peers.recordMessage(peer);
         for (int i = 0; i < dataCentres; ++i) {
             daemon->targets.put(targetOf(QStringLiteral("engine"), i));
             daemon->targets.put(targetOf(QStringLiteral("plain"), i));
@@ -93,7 +94,7 @@
 {
     return all([](const LoadDaemon &daemon) {
         const qsizetype others = daemon.peers.otherDataCentres().size();
-        return !daemon.heads.isHead() || daemon.heads.elsewhere().size() == Heads * others;
+        return !daemon.heads.isHead() || daemon.heads.remoteHeads().size() == Heads * others;
     });
 }
 
