--- a/src/relay/RelayParts.h
+++ b/src/relay/RelayParts.h
@@ -20,9 +20,9 @@
 #include "relay/RoomForecast.h"
 #include "relay/StoreFeed.h"
 #include "relay/StoreMirror.h"
+#include "relay/TargetAnnouncements.h"
 #include "relay/TargetDirectory.h"
 #include "relay/TargetEntries.h"
-#include "relay/TargetNews.h"
 #include "relay/WaitingRequests.h"
 
 namespace cranberry {
--- a/src/relay/RelayRunMoves.cpp
+++ b/src/relay/RelayRunMoves.cpp
@@ -13,8 +13,8 @@
 #include "relay/RelayAttempt.h"
 #include "relay/RelayContext.h"
 #include "relay/ReservationOutcome.h"
+#include "relay/TargetAnnouncements.h"
 #include "relay/TargetDirectory.h"
-#include "relay/TargetNews.h"
 #include "relay/TargetPlace.h"
 
 namespace cranberry {
--- a/src/relay/TargetNews.cpp
+++ b/src/relay/TargetAnnouncements.cpp
@@ -1,4 +1,4 @@
-#include "relay/TargetNews.h"
+#include "relay/TargetAnnouncements.h"
 
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
