--- a/src/relay/GenerationMove.cpp
+++ b/src/relay/GenerationMove.cpp
@@ -104,7 +104,7 @@
         return RoundInterval;
     // A round behind the first copies of other generations would not be short.
     const MonotonicTime now = m_context.timers.now();
-    const MonotonicTime next = std::min(source->linkFree, source->leavesAt - FinalCopyLead);
+    const MonotonicTime next = std::min(source->linkFreeAt, source->leavesAt - FinalCopyLead);
     return std::max(RoundInterval, std::chrono::duration_cast<Milliseconds>(next - now));
 }
 
--- a/src/relay/MoveChoice.cpp
+++ b/src/relay/MoveChoice.cpp
@@ -21,7 +21,7 @@
                          MonotonicTime now)
 {
     // A copy starts when both links are free and occupies both until it ends.
-    return std::max({now, move.sourceLinkFree, target.linkFree}) + duration;
+    return std::max({now, move.sourceLinkFree, target.linkFreeAt}) + duration;
 }
 
 /// Time that an engine may stay beyond its minimum notice period.
@@ -49,9 +49,9 @@
 
 Milliseconds copyTime(const EngineTraits &engine, Tokens held, bool isCrossDataCentre)
 {
-    const bool isKnown = engine.bytesPerToken.value() > 0 && engine.linkMegabits > 0;
+    const bool isKnown = engine.bytesPerToken.value() > 0 && engine.linkMegabitsPerSecond > 0;
     const double perToken = isKnown
-        ? double(engine.bytesPerToken.value()) * 8 / (engine.linkMegabits * 1000)
+        ? double(engine.bytesPerToken.value()) * 8 / (engine.linkMegabitsPerSecond * 1000)
         : DefaultMillisecondsPerToken;
     return Milliseconds(
         qint64(perToken * double(held.value()) * (isCrossDataCentre ? CrossDataCentreFactor : 1)));
--- a/src/relay/RelayContext.h
+++ b/src/relay/RelayContext.h
@@ -16,7 +16,7 @@
 class HttpClient;
 class OutputForecast;
 class TargetDirectory;
-class TargetNews;
+class TargetAnnouncements;
 class TimerService;
 class WaitingRequests;
 struct RoomForecast;
@@ -26,7 +26,7 @@
     TimerService &timers;
     HttpClient &client;
     TargetDirectory &targets;
-    TargetNews &news;
+    TargetAnnouncements &news;
     EngineReports &reports;
     WaitingRequests &waiting;
     RelayRetryBudget &retryBudget;
--- a/src/relay/RelayParts.h
+++ b/src/relay/RelayParts.h
@@ -19,9 +19,9 @@
 #include "relay/RoomForecast.h"
 #include "relay/StoreFeed.h"
 #include "relay/StoreMirror.h"
+#include "relay/TargetAnnouncements.h"
 #include "relay/TargetDirectory.h"
 #include "relay/TargetEntries.h"
-#include "relay/TargetNews.h"
 #include "relay/WaitingRequests.h"
 
 namespace cranberry {
@@ -45,7 +45,7 @@
     PeerDatagrams datagrams;
     DataCentreHeads heads;
     LoadExchange loads;
-    TargetNews news;
+    TargetAnnouncements news;
     CrashGuard crashGuard;
     RelayContext context;
     /// All keys of the operator: the configuration and evacuations.
--- a/src/relay/RelayRunMoves.cpp
+++ b/src/relay/RelayRunMoves.cpp
@@ -12,8 +12,8 @@
 #include "relay/RelayAttempt.h"
 #include "relay/RelayContext.h"
 #include "relay/ReservationOutcome.h"
+#include "relay/TargetAnnouncements.h"
 #include "relay/TargetDirectory.h"
-#include "relay/TargetNews.h"
 #include "relay/TargetPlace.h"
 
 namespace cranberry {
@@ -110,7 +110,7 @@
     if (!m_avoidedDestination.isEmpty())
         wanted.excluded.insert(m_avoidedDestination);
     wanted.dataCentre = source->entry.dataCentre;
-    const MoveNeed move{wanted, heldTokens(), source->linkFree};
+    const MoveNeed move{wanted, heldTokens(), source->linkFreeAt};
     const MovePick pick = chooseDestination(m_context.targets.takingWork(m_task.service), move,
                                             m_context.timers.now());
     const bool isTooLate =
@@ -238,7 +238,8 @@
             const bool isSilent =
                 record && context.timers.now() - record->reportedAt > RefusalReportMaxAge;
             if (isSilent)
-                context.targets.failed(destination, "refused a copy and sent no load report");
+                context.targets.recordFailure(destination,
+                                              "refused a copy and sent no load report");
         });
 }
 
--- a/src/relay/RelayRunRetries.cpp
+++ b/src/relay/RelayRunRetries.cpp
@@ -101,9 +101,9 @@
     switch (result.kind) {
     case SendResult::Kind::Answered:
         if (result.head.status >= FirstServerFailure)
-            m_context.targets.failed(m_target, "returned a server error");
+            m_context.targets.recordFailure(m_target, "returned a server error");
         else
-            m_context.targets.succeeded(m_target);
+            m_context.targets.recordSuccess(m_target);
         break;
     case SendResult::Kind::NotExecuted:
         // A full target has not failed; its load figures already reflect this.
@@ -114,7 +114,7 @@
     case SendResult::Kind::NotConnected:
     case SendResult::Kind::Broken:
     case SendResult::Kind::Invalid:
-        m_context.targets.failed(m_target, sendResultName(result.kind));
+        m_context.targets.recordFailure(m_target, sendResultName(result.kind));
         break;
     }
 }
--- a/src/relay/TargetChoice.cpp
+++ b/src/relay/TargetChoice.cpp
@@ -29,8 +29,8 @@
 
 double failurePenalty(const TargetRecord &target, MonotonicTime now)
 {
-    const std::chrono::duration<double> age = now - target.failureSeen;
-    return FailurePenalty * target.failureShare * std::exp2(-age.count() / FailureHalfLife);
+    const std::chrono::duration<double> age = now - target.lastOutcomeAt;
+    return FailurePenalty * target.failureRate * std::exp2(-age.count() / FailureHalfLife);
 }
 
 /// Known load of a target from all daemons.
@@ -49,7 +49,7 @@
     load.unread = double(target.ownUnread.value());
     load.running = target.ownRunning;
     for (const PeerLoad &peer : target.peers) {
-        if (now - peer.heard > PeerLoadHolds)
+        if (now - peer.heardAt > PeerLoadTimeout)
             continue;
         load.tokens += double(peer.tokens.value());
         load.backup += double(peer.backup.value());
@@ -72,8 +72,9 @@
     if (hasReport) {
         // The load reported by daemons includes forecast output. Load that only the engine knows
         // of, such as copies, is visible in its report alone.
-        used = std::max(used, double(target.report->used.value() + target.tokensSince.value()));
-        running = std::max(running, target.report->running + target.placedSince);
+        used =
+            std::max(used, double(target.report->used.value() + target.tokensSinceReport.value()));
+        running = std::max(running, target.report->running + target.placedSinceReport);
     }
     if (!withBackups)
         used = std::max(used - known.backup, known.tokens);
@@ -98,7 +99,7 @@
 {
     const DataCentreId &dataCentre = target.entry.dataCentre;
     const bool isKnown = !need.engine || dataCentre == need.daemonDataCentre
-        || now - target.toldByOwner < PeerLoadHolds;
+        || now - target.ownerReportedAt < PeerLoadTimeout;
     return (dataCentre == need.dataCentre ? 0 : need.distance.otherDataCentre)
         + (isKnown ? 0 : need.distance.unreported);
 }
@@ -118,7 +119,7 @@
 /// Whether the request is allowed there, regardless of the scores.
 bool hasRoom(const TargetRecord &target, const TargetNeed &need, MonotonicTime now)
 {
-    if (target.isPaced(now) && target.coldSendAfter > now)
+    if (target.isPaced(now) && target.nextColdSend > now)
         return false;
     if (!need.engine)
         return true;
@@ -126,7 +127,7 @@
         return false;
     if (!need.unreadLimit)
         return true;
-    if (target.spreadUntil > now)
+    if (target.firstUseAfter > now)
         return false;
     const double before = knownLoad(target, now).unread;
     const double slowness = target.isCold(now) ? ColdReadSlowdown : 1;
