--- a/src/claims/ClaimStore.h
+++ b/src/claims/ClaimStore.h
@@ -31,7 +31,7 @@
 /// The claim may stand nevertheless, if its write was not answered and could not be settled;
 /// its attempt id must never be sent then. It is released later if the service comes back.
 /// Thread safety: only from the thread of the event loop.
-class ClaimStore final : public ClaimGate
+class ClaimStore final : public ClaimService
 {
 public:
     /// Milliseconds since 1970; it decides only what is old enough to be forgotten.
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -159,7 +159,7 @@
     m_parts->members.onVersionHeard([this](const VmId &from, ConfigurationVersion version) {
         m_parts->spread.versionHeard(from, version);
     });
-    m_parts->gateway.setAttached(&m_parts->attached);
+    m_parts->gateway.setAttachClient(&m_parts->attached);
     m_parts->gateway.setOperatorHandler(
         [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
             return m_parts->operators.handle(request, responder);
@@ -206,7 +206,7 @@
     m_parts->members.setLeaving();
     m_parts->drainTimer = m_parts->timers.after(m_settings.drainListen, [this] {
         m_parts->server.stopListening();
-        m_parts->gateway.refuseNew();
+        m_parts->gateway.refuseNewRequests();
         m_parts->drainTimer = m_parts->timers.every(DrainCheck, [this] { finishDrainWhenIdle(); });
     });
 }
--- a/src/daemon/DaemonParts.h
+++ b/src/daemon/DaemonParts.h
@@ -56,8 +56,8 @@
     ClaimStore claims;
     DeliveryContext delivery;
     RunRegistry runs;
-    AttachHolder attachHolder;
-    AttachedAnswers attached;
+    AttachServer attachHolder;
+    AttachClient attached;
     Gateway gateway;
     OperatorApi operators;
     HttpServer server;
--- a/src/daemon/DaemonSettings.cpp
+++ b/src/daemon/DaemonSettings.cpp
@@ -57,16 +57,16 @@
                                             http.unreadAnswer.value()));
     http.requestArrival =
         readDuration(reader, QStringLiteral("request_arrival_ms"), http.requestArrival);
-    settings.stall.floor =
-        readDuration(reader, QStringLiteral("stall_floor_ms"), settings.stall.floor);
-    settings.stall.ceiling =
-        readDuration(reader, QStringLiteral("stall_ceiling_ms"), settings.stall.ceiling);
-    if (settings.stall.ceiling < settings.stall.floor)
+    settings.stall.minSilence =
+        readDuration(reader, QStringLiteral("stall_floor_ms"), settings.stall.minSilence);
+    settings.stall.maxSilence =
+        readDuration(reader, QStringLiteral("stall_ceiling_ms"), settings.stall.maxSilence);
+    if (settings.stall.maxSilence < settings.stall.minSilence)
         reader.fault(QStringLiteral("stall_ceiling_ms"), QStringLiteral("at least stall_floor_ms"));
-    settings.retention.finished =
-        readDuration(reader, QStringLiteral("finished_ms"), settings.retention.finished);
-    settings.retention.abandoned =
-        readDuration(reader, QStringLiteral("abandoned_ms"), settings.retention.abandoned);
+    settings.retention.finishedDuration =
+        readDuration(reader, QStringLiteral("finished_ms"), settings.retention.finishedDuration);
+    settings.retention.abandonedTimeout =
+        readDuration(reader, QStringLiteral("abandoned_ms"), settings.retention.abandonedTimeout);
     settings.workers =
         int(reader.number(QStringLiteral("workers"), 1, MostWorkers, settings.workers));
     settings.drainListen =
--- a/src/daemon/Dispatcher.cpp
+++ b/src/daemon/Dispatcher.cpp
@@ -164,7 +164,7 @@
     const auto found = m_configuration->targets.constFind(target);
     const HttpEndpoint endpoint =
         found == m_configuration->targets.constEnd() ? HttpEndpoint() : found->endpoint;
-    wait->callback(TargetPlace{target, endpoint, m_surroundings.targets.incarnation(target)});
+    wait->callback(TargetAssignment{target, endpoint, m_surroundings.targets.incarnation(target)});
 }
 
 void Dispatcher::refuse(const Wait &wait, const Error &error)
@@ -190,9 +190,9 @@
     const RequestFingerprint fingerprint = m_running.take(attempt);
     // A request that never reached a target cannot have crashed it: it is off the target before
     // the blame is laid.
-    if (outcome == AttemptOutcome::NotReached)
+    if (outcome == AttemptOutcome::NotConnected)
         m_surroundings.quarantine.attemptFinished(fingerprint, target, false);
-    if (outcome == AttemptOutcome::TargetLost || outcome == AttemptOutcome::NotReached)
+    if (outcome == AttemptOutcome::ConnectionLost || outcome == AttemptOutcome::NotConnected)
         targetLost(target);
     else if (outcome == AttemptOutcome::Leaving)
         targetLeaves(target);
--- a/src/delivery/AttachHolder.cpp
+++ b/src/delivery/AttachHolder.cpp
@@ -15,41 +15,41 @@
 namespace {
 
 /// Events of one message; a frame holds several times as much.
-constexpr qsizetype MessageBytes = 128 * 1024;
+constexpr qsizetype MaxMessageBytes = 128 * 1024;
 /// A larger event cannot be sent within the bound of a frame.
-constexpr qsizetype LargestEventBytes = 512 * 1024;
+constexpr qsizetype MaxEventBytes = 512 * 1024;
 constexpr Milliseconds SweepInterval{100};
 /// An ask is answered after this time even if nothing has come, to show that the holder lives.
-constexpr Milliseconds LongestSilence{300};
+constexpr Milliseconds MaxReplyDelay{300};
 /// A follower that has not asked for so long is gone.
-constexpr Milliseconds FollowerLimit{4000};
+constexpr Milliseconds FollowerTimeout{4000};
 
 /// Tells that the run has something new; the events are read from the run.
-class WakeSink final : public AnswerSink
+class NotifySink final : public AnswerSink
 {
 public:
-    explicit WakeSink(std::function<void()> wake)
-        : m_wake(std::move(wake))
+    explicit NotifySink(std::function<void()> notify)
+        : m_notify(std::move(notify))
     {
     }
-    void deliver(const TokenEvent &) override { m_wake(); }
-    void finished() override { m_wake(); }
-    void failed(const Error &) override { m_wake(); }
+    void deliver(const TokenEvent &) override { m_notify(); }
+    void finished() override { m_notify(); }
+    void failed(const Error &) override { m_notify(); }
 
 private:
-    std::function<void()> m_wake;
+    std::function<void()> m_notify;
 };
 
-AttachDataMessage dataOf(const GenerationRun &run, qint64 from)
+AttachDataMessage attachDataFor(const GenerationRun &run, qint64 from)
 {
     AttachDataMessage message;
     message.from = from;
     const QList<TokenEvent> &events = run.events();
     qsizetype bytes = 0;
     qint64 next = from;
-    for (; next < events.size() && bytes < MessageBytes; ++next) {
+    for (; next < events.size() && bytes < MaxMessageBytes; ++next) {
         const TokenEvent &event = events.at(next);
-        if (event.data.size() > LargestEventBytes) {
+        if (event.data.size() > MaxEventBytes) {
             message.state = AttachDataMessage::State::Unknown;
             return message;
         }
@@ -61,48 +61,48 @@
     if (run.failure()) {
         message.state = AttachDataMessage::State::Failed;
         message.error = run.failure();
-    } else if (run.isWhole()) {
-        message.state = AttachDataMessage::State::Whole;
+    } else if (run.isComplete()) {
+        message.state = AttachDataMessage::State::Complete;
     }
     return message;
 }
 
 } // namespace
 
-struct AttachHolder::Session {
+struct AttachServer::Session {
     RequestId id;
     VmId follower;
     std::shared_ptr<GenerationRun> run;
     std::shared_ptr<AnswerSink> sink;
     /// The number of the ask that is not answered yet.
-    std::optional<qint64> asked;
-    MonotonicTime askedAt;
+    std::optional<qint64> pendingFrom;
+    MonotonicTime lastRequestTime;
 };
 
-AttachHolder::AttachHolder(PeerNetwork &peers, TimerService &timers, RunRegistry &runs)
+AttachServer::AttachServer(PeerNetwork &peers, TimerService &timers, RunRegistry &runs)
     : m_peers(peers)
     , m_timers(timers)
     , m_runs(runs)
-    , m_sweep(timers.every(SweepInterval, [this] { sweep(); }))
+    , m_sweepTimer(timers.every(SweepInterval, [this] { sweep(); }))
 {
     peers.subscribe(PeerMessageKind::AttachRequest, [this](const VmId &from, const QCborMap &body) {
         if (const auto message = attachRequestFrom(body))
-            requested(from, *message);
+            requestReceived(from, *message);
     });
 }
 
-AttachHolder::~AttachHolder()
+AttachServer::~AttachServer()
 {
     m_peers.subscribe(PeerMessageKind::AttachRequest, [](const VmId &, const QCborMap &) {});
 }
 
-void AttachHolder::requested(const VmId &from, const AttachRequestMessage &message)
+void AttachServer::requestReceived(const VmId &from, const AttachRequestMessage &message)
 {
     if (message.done) {
         remove(message.session);
         return;
     }
-    Session *session = sessionFor(from, message);
+    Session *session = findOrCreateSession(from, message);
     if (!session) {
         AttachDataMessage unknown;
         unknown.session = message.session;
@@ -111,13 +111,13 @@
         m_peers.send(from, PeerMessageKind::AttachData, toCbor(unknown));
         return;
     }
-    session->asked = message.from;
-    session->askedAt = m_timers.now();
-    answerIfAny(*session);
+    session->pendingFrom = message.from;
+    session->lastRequestTime = m_timers.now();
+    sendIfAvailable(*session);
 }
 
-AttachHolder::Session *AttachHolder::sessionFor(const VmId &from,
-                                                const AttachRequestMessage &message)
+AttachServer::Session *AttachServer::findOrCreateSession(const VmId &from,
+                                                         const AttachRequestMessage &message)
 {
     const auto known = m_sessions.find(message.session);
     if (known != m_sessions.end())
@@ -130,30 +130,30 @@
     session->follower = from;
     session->run = run;
     Session *added = session.get();
-    session->sink = std::make_shared<WakeSink>([this, added] { answerIfAny(*added); });
+    session->sink = std::make_shared<NotifySink>([this, added] { sendIfAvailable(*added); });
     m_sessions.emplace(message.session, std::move(session));
     run->attach(added->sink);
     return added;
 }
 
-void AttachHolder::answerIfAny(Session &session)
+void AttachServer::sendIfAvailable(Session &session)
 {
     const GenerationRun &run = *session.run;
-    const bool any =
-        session.asked && (*session.asked < run.events().size() || run.isWhole() || run.failure());
-    if (any)
-        answer(session);
+    const bool isAvailable = session.pendingFrom
+        && (*session.pendingFrom < run.events().size() || run.isComplete() || run.failure());
+    if (isAvailable)
+        sendData(session);
 }
 
-void AttachHolder::answer(Session &session)
+void AttachServer::sendData(Session &session)
 {
-    AttachDataMessage message = dataOf(*session.run, *session.asked);
+    AttachDataMessage message = attachDataFor(*session.run, *session.pendingFrom);
     message.session = session.id;
-    session.asked.reset();
+    session.pendingFrom.reset();
     m_peers.send(session.follower, PeerMessageKind::AttachData, toCbor(message));
 }
 
-void AttachHolder::remove(const RequestId &session)
+void AttachServer::remove(const RequestId &session)
 {
     const auto found = m_sessions.find(session);
     if (found == m_sessions.end())
@@ -162,17 +162,17 @@
     m_sessions.erase(found);
 }
 
-void AttachHolder::sweep()
+void AttachServer::sweep()
 {
     const MonotonicTime now = m_timers.now();
-    std::vector<RequestId> gone;
+    std::vector<RequestId> expired;
     for (const auto &[id, session] : m_sessions) {
-        if (now - session->askedAt >= FollowerLimit)
-            gone.push_back(id);
-        else if (session->asked && now - session->askedAt >= LongestSilence)
-            answer(*session);
+        if (now - session->lastRequestTime >= FollowerTimeout)
+            expired.push_back(id);
+        else if (session->pendingFrom && now - session->lastRequestTime >= MaxReplyDelay)
+            sendData(*session);
     }
-    for (const RequestId &id : gone)
+    for (const RequestId &id : expired)
         remove(id);
 }
 
--- a/src/delivery/AttachHolder.h
+++ b/src/delivery/AttachHolder.h
@@ -1,4 +1,4 @@
-// Defines AttachHolder, which lets other daemons follow the at-most-once runs of this one.
+// Defines AttachServer, which lets other daemons follow the at-most-once runs of this one.
 #pragma once
 
 #include "base/Ids.h"
@@ -20,14 +20,14 @@
 /// any, or with none after a while. So the follower sets the pace, what is on the way stays
 /// bounded, and a lost message is made good by asking again.
 /// Thread safety: only from the thread of the event loop.
-class AttachHolder
+class AttachServer
 {
 public:
     /// Preconditions: all outlive the holder; nobody else subscribes to AttachRequest.
-    AttachHolder(PeerNetwork &peers, TimerService &timers, RunRegistry &runs);
-    ~AttachHolder();
-    AttachHolder(const AttachHolder &) = delete;
-    AttachHolder &operator=(const AttachHolder &) = delete;
+    AttachServer(PeerNetwork &peers, TimerService &timers, RunRegistry &runs);
+    ~AttachServer();
+    AttachServer(const AttachServer &) = delete;
+    AttachServer &operator=(const AttachServer &) = delete;
 
     /// Followers that have not got everything yet, as far as is known.
     int followers() const { return int(m_sessions.size()); }
@@ -35,10 +35,10 @@
 private:
     struct Session;
 
-    void requested(const VmId &from, const AttachRequestMessage &message);
-    Session *sessionFor(const VmId &from, const AttachRequestMessage &message);
-    void answerIfAny(Session &session);
-    void answer(Session &session);
+    void requestReceived(const VmId &from, const AttachRequestMessage &message);
+    Session *findOrCreateSession(const VmId &from, const AttachRequestMessage &message);
+    void sendIfAvailable(Session &session);
+    void sendData(Session &session);
     void remove(const RequestId &session);
     void sweep();
 
@@ -46,7 +46,7 @@
     TimerService &m_timers;
     RunRegistry &m_runs;
     std::map<RequestId, std::unique_ptr<Session>> m_sessions;
-    std::unique_ptr<TimerSubscription> m_sweep;
+    std::unique_ptr<TimerSubscription> m_sweepTimer;
 };
 
 } // namespace cranberry
--- a/src/delivery/AttachMessages.h
+++ b/src/delivery/AttachMessages.h
@@ -29,7 +29,7 @@
         /// More will come, or more is there than one message carries.
         Running = 1,
         /// These events are the last.
-        Whole = 2,
+        Complete = 2,
         /// These events are the last; then it failed.
         Failed = 3,
         /// The holder has no such generation.
--- a/src/delivery/AttachedAnswers.cpp
+++ b/src/delivery/AttachedAnswers.cpp
@@ -16,51 +16,52 @@
 namespace {
 
 /// The holder answers within half of this even if it has nothing; else a message was lost.
-constexpr Milliseconds AnswerLimit{700};
+constexpr Milliseconds ReplyTimeout{700};
 /// Asks in a row without an answer after which the holder counts as gone.
-constexpr int UnansweredAsks = 3;
+constexpr int MaxUnansweredRequests = 3;
 
 } // namespace
 
-struct AttachedAnswers::Followed {
-    AttachRequestMessage next;
+struct AttachClient::RemoteAnswer {
+    AttachRequestMessage nextRequest;
     VmId holder;
     std::shared_ptr<AnswerSink> sink;
     TokenSequence sequence;
-    int unanswered = 0;
-    bool awaiting = false;
-    std::unique_ptr<TimerSubscription> answerTimer;
+    int unansweredRequests = 0;
+    bool isAwaitingReply = false;
+    std::unique_ptr<TimerSubscription> replyTimer;
     std::unique_ptr<TimerSubscription> deadlineTimer;
 };
 
-AttachedAnswers::AttachedAnswers(PeerNetwork &peers, TimerService &timers)
+AttachClient::AttachClient(PeerNetwork &peers, TimerService &timers)
     : m_peers(peers)
     , m_timers(timers)
 {
     peers.subscribe(PeerMessageKind::AttachData, [this](const VmId &from, const QCborMap &body) {
         if (const auto message = attachDataFrom(body))
-            received(from, *message);
+            dataReceived(from, *message);
     });
 }
 
-AttachedAnswers::~AttachedAnswers()
+AttachClient::~AttachClient()
 {
     m_peers.subscribe(PeerMessageKind::AttachData, [](const VmId &, const QCborMap &) {});
 }
 
-void AttachedAnswers::follow(const ClaimDecision &held, const GenerationRequest &request,
-                             const std::shared_ptr<AnswerSink> &sink)
+void AttachClient::follow(const ClaimDecision &held, const GenerationRequest &request,
+                          const std::shared_ptr<AnswerSink> &sink)
 {
-    auto followed = std::make_unique<Followed>();
-    followed->next.session = request.id;
-    followed->next.claimKey = request.claimKey;
-    followed->next.claimAttempt = held.heldAttempt;
-    followed->holder = held.holder;
-    followed->sink = sink;
-    const auto left = std::chrono::duration_cast<Milliseconds>(request.deadline - m_timers.now());
-    followed->deadlineTimer =
-        m_timers.after(std::max(left, Milliseconds(0)), [this, id = request.id] {
-            const bool began = m_followed.at(id)->sequence.next > 0;
+    auto answer = std::make_unique<RemoteAnswer>();
+    answer->nextRequest.session = request.id;
+    answer->nextRequest.claimKey = request.claimKey;
+    answer->nextRequest.claimAttempt = held.holderAttempt;
+    answer->holder = held.holder;
+    answer->sink = sink;
+    const auto remaining =
+        std::chrono::duration_cast<Milliseconds>(request.deadline - m_timers.now());
+    answer->deadlineTimer =
+        m_timers.after(std::max(remaining, Milliseconds(0)), [this, id = request.id] {
+            const bool began = m_answers.at(id)->sequence.next > 0;
             fail(id,
                  {ErrorKind::DeadlineExceeded,
                   began ? Ran::Yes : Ran::Maybe,
@@ -68,90 +69,90 @@
                   {},
                   {}});
         });
-    Followed &added = *followed;
-    m_followed[request.id] = std::move(followed);
-    ask(added);
+    RemoteAnswer &added = *answer;
+    m_answers[request.id] = std::move(answer);
+    requestEvents(added);
 }
 
-void AttachedAnswers::ask(Followed &followed)
+void AttachClient::requestEvents(RemoteAnswer &answer)
 {
-    followed.next.from = followed.sequence.next;
-    followed.awaiting = true;
+    answer.nextRequest.from = answer.sequence.next;
+    answer.isAwaitingReply = true;
     // A message that cannot be sent now is as good as lost: the timer asks again.
-    m_peers.send(followed.holder, PeerMessageKind::AttachRequest, toCbor(followed.next));
-    followed.answerTimer =
-        m_timers.after(AnswerLimit, [this, id = followed.next.session] { unanswered(id); });
+    m_peers.send(answer.holder, PeerMessageKind::AttachRequest, toCbor(answer.nextRequest));
+    answer.replyTimer = m_timers.after(
+        ReplyTimeout, [this, id = answer.nextRequest.session] { requestTimedOut(id); });
 }
 
-void AttachedAnswers::unanswered(const RequestId &session)
+void AttachClient::requestTimedOut(const RequestId &session)
 {
-    Followed &followed = *m_followed.at(session);
-    ++followed.unanswered;
-    if (followed.unanswered >= UnansweredAsks)
-        lost(session);
+    RemoteAnswer &answer = *m_answers.at(session);
+    ++answer.unansweredRequests;
+    if (answer.unansweredRequests >= MaxUnansweredRequests)
+        holderLost(session);
     else
-        ask(followed);
+        requestEvents(answer);
 }
 
-void AttachedAnswers::received(const VmId &from, const AttachDataMessage &message)
+void AttachClient::dataReceived(const VmId &from, const AttachDataMessage &message)
 {
-    const auto found = m_followed.find(message.session);
-    if (found == m_followed.end() || found->second->holder != from)
+    const auto found = m_answers.find(message.session);
+    if (found == m_answers.end() || found->second->holder != from)
         return;
-    Followed &followed = *found->second;
+    RemoteAnswer &answer = *found->second;
     // An ask that was repeated may be answered twice. Taking both would ask twice from then on.
-    if (!followed.awaiting || message.from != followed.next.from)
+    if (!answer.isAwaitingReply || message.from != answer.nextRequest.from)
         return;
-    followed.awaiting = false;
-    followed.unanswered = 0;
-    followed.answerTimer.reset();
+    answer.isAwaitingReply = false;
+    answer.unansweredRequests = 0;
+    answer.replyTimer.reset();
     if (message.state == AttachDataMessage::State::Unknown)
-        lost(message.session);
+        holderLost(message.session);
     else if (deliver(message))
-        settle(message);
+        continueOrFinish(message);
 }
 
-bool AttachedAnswers::deliver(const AttachDataMessage &message)
+bool AttachClient::deliver(const AttachDataMessage &message)
 {
     for (const AttachDataMessage::Event &event : message.events) {
         const Result<TokenEvent> token =
             parseTokenEvent({QByteArray::number(event.index), {}, event.data});
         if (!token) {
-            lost(message.session);
+            holderLost(message.session);
             return false;
         }
-        Followed &followed = *m_followed.at(message.session);
-        const TokenVerdict verdict = acceptToken(followed.sequence, token.value().attempt,
+        RemoteAnswer &answer = *m_answers.at(message.session);
+        const TokenVerdict verdict = acceptToken(answer.sequence, token.value().attempt,
                                                  event.index, token.value().isLast());
         if (verdict != TokenVerdict::Deliver) {
-            lost(message.session);
+            holderLost(message.session);
             return false;
         }
-        const std::shared_ptr<AnswerSink> sink = followed.sink;
+        const std::shared_ptr<AnswerSink> sink = answer.sink;
         sink->deliver(token.value());
-        if (m_followed.count(message.session) == 0)
+        if (m_answers.count(message.session) == 0)
             return false;
     }
     return true;
 }
 
-void AttachedAnswers::settle(const AttachDataMessage &message)
+void AttachClient::continueOrFinish(const AttachDataMessage &message)
 {
-    Followed &followed = *m_followed.at(message.session);
+    RemoteAnswer &answer = *m_answers.at(message.session);
     if (message.state == AttachDataMessage::State::Running) {
-        ask(followed);
+        requestEvents(answer);
     } else if (message.state == AttachDataMessage::State::Failed) {
         fail(message.session, *message.error);
-    } else if (followed.sequence.complete) {
-        take(message.session)->finished();
+    } else if (answer.sequence.complete) {
+        endSession(message.session)->finished();
     } else {
-        lost(message.session);
+        holderLost(message.session);
     }
 }
 
-void AttachedAnswers::lost(const RequestId &session)
+void AttachClient::holderLost(const RequestId &session)
 {
-    const bool began = m_followed.at(session)->sequence.next > 0;
+    const bool began = m_answers.at(session)->sequence.next > 0;
     fail(session,
          {began ? ErrorKind::GenerationLost : ErrorKind::OutcomeUnknown,
           began ? Ran::Yes : Ran::Maybe,
@@ -160,28 +161,28 @@
           {}});
 }
 
-void AttachedAnswers::fail(const RequestId &session, const Error &error)
+void AttachClient::fail(const RequestId &session, const Error &error)
 {
-    take(session)->failed(error);
+    endSession(session)->failed(error);
 }
 
-void AttachedAnswers::leave(const AnswerSink *sink)
+void AttachClient::detach(const AnswerSink *sink)
 {
-    for (const auto &[id, followed] : m_followed) {
-        if (followed->sink.get() != sink)
+    for (const auto &[id, answer] : m_answers) {
+        if (answer->sink.get() != sink)
             continue;
-        const std::shared_ptr<AnswerSink> kept = take(RequestId(id));
+        const std::shared_ptr<AnswerSink> kept = endSession(RequestId(id));
         return;
     }
 }
 
-std::shared_ptr<AnswerSink> AttachedAnswers::take(const RequestId &session)
+std::shared_ptr<AnswerSink> AttachClient::endSession(const RequestId &session)
 {
-    const auto found = m_followed.find(session);
-    const std::unique_ptr<Followed> ended = std::move(found->second);
-    m_followed.erase(found);
-    ended->next.done = true;
-    m_peers.send(ended->holder, PeerMessageKind::AttachRequest, toCbor(ended->next));
+    const auto found = m_answers.find(session);
+    const std::unique_ptr<RemoteAnswer> ended = std::move(found->second);
+    m_answers.erase(found);
+    ended->nextRequest.done = true;
+    m_peers.send(ended->holder, PeerMessageKind::AttachRequest, toCbor(ended->nextRequest));
     return ended->sink;
 }
 
--- a/src/delivery/ClaimGate.h
+++ b/src/delivery/ClaimGate.h
@@ -1,4 +1,4 @@
-// Defines ClaimGate, where delivery asks whether an at-most-once request may be sent.
+// Defines ClaimService, where delivery asks whether an at-most-once request may be sent.
 #pragma once
 
 #include "base/Ids.h"
@@ -20,21 +20,21 @@
     Kind kind = Kind::Won;
     /// If Held: who holds it and for which request.
     VmId holder;
-    AttemptId heldAttempt;
-    QByteArray heldFingerprint;
+    AttemptId holderAttempt;
+    QByteArray holderFingerprint;
 };
 
 /// Claims as delivery sees them. Safety rests on the compare-and-swap behind it.
 /// Thread safety: only from the thread of the event loop.
-class ClaimGate
+class ClaimService
 {
 public:
     using Callback = std::function<void(Result<ClaimDecision>)>;
 
-    ClaimGate() = default;
-    virtual ~ClaimGate() = default;
-    ClaimGate(const ClaimGate &) = delete;
-    ClaimGate &operator=(const ClaimGate &) = delete;
+    ClaimService() = default;
+    virtual ~ClaimService() = default;
+    ClaimService(const ClaimService &) = delete;
+    ClaimService &operator=(const ClaimService &) = delete;
 
     /// Claims @p claimKey for @p attempt. Calls back once. After an error the request must
     /// not be sent under this attempt id, ever.
--- a/src/delivery/DeliveryContext.h
+++ b/src/delivery/DeliveryContext.h
@@ -5,7 +5,7 @@
 
 namespace cranberry {
 
-class ClaimGate;
+class ClaimService;
 class HttpClient;
 class TargetCancels;
 class TargetSource;
@@ -27,7 +27,7 @@
     TimerService &timers;
     TargetSource &targets;
     TargetCancels &cancels;
-    ClaimGate &claims;
+    ClaimService &claims;
     StallLimits stallLimits;
     GapStatistics gaps;
     DeliveryCounters counters;
--- a/src/delivery/GenerationRun.cpp
+++ b/src/delivery/GenerationRun.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 /// Resumes in a row beside a silent stream that are not even begun to be answered.
-constexpr int MostUnansweredResumes = 4;
+constexpr int MaxUnansweredResumes = 4;
 
-AttemptId freshAttemptId()
+AttemptId newAttemptId()
 {
     return AttemptId(QUuid::createUuid().toString(QUuid::WithoutBraces));
 }
@@ -29,12 +29,12 @@
 } // namespace
 
 GenerationRun::GenerationRun(DeliveryContext &context, GenerationRequest request,
-                             EndedCallback ended, HeldCallback held)
+                             EndedCallback onEnded, ClaimHeldCallback onClaimHeld)
     : m_context(context)
     , m_request(std::move(request))
     , m_claim(context.claims, m_request.claimKey, m_request.fingerprint)
-    , m_ended(std::move(ended))
-    , m_held(std::move(held))
+    , m_onEnded(std::move(onEnded))
+    , m_onClaimHeld(std::move(onClaimHeld))
 {
 }
 
@@ -43,9 +43,9 @@
 void GenerationRun::start()
 {
     const MonotonicTime now = m_context.timers.now();
-    const auto left = std::chrono::duration_cast<Milliseconds>(m_request.deadline - now);
+    const auto remaining = std::chrono::duration_cast<Milliseconds>(m_request.deadline - now);
     m_deadlineTimer =
-        m_context.timers.after(std::max(left, Milliseconds(0)), [this] { deadlinePassed(); });
+        m_context.timers.after(std::max(remaining, Milliseconds(0)), [this] { deadlinePassed(); });
     acquireTarget();
 }
 
@@ -71,12 +71,12 @@
 
 void GenerationRun::cancelIfAbandoned()
 {
-    if (m_over || !m_sinks.isEmpty())
+    if (m_hasEnded || !m_sinks.isEmpty())
         return;
     const std::shared_ptr<GenerationRun> alive = shared_from_this();
     cancelAtTarget();
     fail({ErrorKind::GenerationLost,
-          whatIsKnown(),
+          ranSoFar(),
           QStringLiteral("cancelled: the caller left"),
           {},
           {}});
@@ -84,14 +84,14 @@
 
 void GenerationRun::acquireTarget()
 {
-    m_attempt = freshAttemptId();
+    m_attempt = newAttemptId();
     m_target = TargetId();
     m_sent = false;
-    m_began = false;
-    m_resumeTries = 0;
-    m_targetGone = false;
+    m_answerBegan = false;
+    m_resumesWithoutEvent = 0;
+    m_isTargetUnreachable = false;
     m_unansweredResumes = 0;
-    m_acquiring = true;
+    m_isAcquiring = true;
     TargetDemand demand;
     demand.fingerprint = m_request.crashFingerprint;
     AdmissionRequest &admission = demand.admission;
@@ -107,24 +107,25 @@
     admission.deadline = m_request.deadline;
     admission.priority = m_request.priority;
     admission.retry = m_isRetry;
-    m_context.targets.acquire(demand, [weak = weak_from_this()](const Result<TargetPlace> &place) {
-        if (const auto self = weak.lock())
-            self->targetAcquired(place);
-    });
+    m_context.targets.acquire(
+        demand, [weak = weak_from_this()](const Result<TargetAssignment> &assignment) {
+            if (const auto self = weak.lock())
+                self->targetAcquired(assignment);
+        });
 }
 
-void GenerationRun::targetAcquired(const Result<TargetPlace> &place)
+void GenerationRun::targetAcquired(const Result<TargetAssignment> &assignment)
 {
-    m_acquiring = false;
-    if (m_over)
+    m_isAcquiring = false;
+    if (m_hasEnded)
         return;
-    if (!place) {
-        fail(place.error());
+    if (!assignment) {
+        fail(assignment.error());
         return;
     }
-    m_target = place.value().target;
-    m_endpoint = place.value().endpoint;
-    m_incarnation = place.value().incarnation;
+    m_target = assignment.value().target;
+    m_endpoint = assignment.value().endpoint;
+    m_incarnation = assignment.value().incarnation;
     if (m_request.atMostOnce && !m_claim.isHeld())
         claimAndSend();
     else
@@ -133,7 +134,7 @@
 
 void GenerationRun::claimAndSend()
 {
-    m_claim.take(m_attempt, [weak = weak_from_this()](const Result<ClaimDecision> &decision) {
+    m_claim.acquire(m_attempt, [weak = weak_from_this()](const Result<ClaimDecision> &decision) {
         if (const auto self = weak.lock())
             self->claimDecided(decision);
     });
@@ -142,16 +143,16 @@
 void GenerationRun::claimDecided(const Result<ClaimDecision> &decision)
 {
     if (!decision) {
-        dropStreams(AttemptOutcome::Cancelled);
+        endAttempt(AttemptOutcome::Cancelled);
         fail(decision.error());
         return;
     }
     if (!m_claim.isHeld()) {
-        dropStreams(AttemptOutcome::Cancelled);
+        endAttempt(AttemptOutcome::Cancelled);
         const std::shared_ptr<GenerationRun> alive = shared_from_this();
-        const HeldCallback held = std::move(m_held);
-        held(decision.value());
-        over();
+        const ClaimHeldCallback onClaimHeld = std::move(m_onClaimHeld);
+        onClaimHeld(decision.value());
+        endRun();
         return;
     }
     send();
@@ -165,17 +166,17 @@
               {"target", m_target.text()}});
     ++m_context.counters.attemptsSent;
     m_sent = true;
-    m_lastEvent = m_context.timers.now();
+    m_lastEventTime = m_context.timers.now();
     m_stream = openStream(false);
-    watchForStall();
+    startStallTimer();
 }
 
 GenerationRun::NumberedStream GenerationRun::openStream(bool isResume)
 {
     const quint64 number = ++m_streamCount;
     TargetStreamCallbacks callbacks;
-    callbacks.began = [this] {
-        m_began = true;
+    callbacks.answerBegan = [this] {
+        m_answerBegan = true;
         m_unansweredResumes = 0;
     };
     callbacks.event = [this, number](const TokenEvent &event) {
@@ -194,14 +195,14 @@
                                            std::move(callbacks))};
 }
 
-bool GenerationRun::isBeside(quint64 stream) const
+bool GenerationRun::isParallelResume(quint64 stream) const
 {
-    return m_beside.stream && m_beside.number == stream;
+    return m_parallelResume.stream && m_parallelResume.number == stream;
 }
 
 void GenerationRun::streamEvent(const TokenEvent &event, quint64 stream)
 {
-    if (m_over)
+    if (m_hasEnded)
         return;
     const bool ownAttempt = event.attempt == m_attempt;
     const TokenVerdict verdict = ownAttempt
@@ -212,15 +213,15 @@
         logEvent(LogLevel::Debug, EventId::StreamDropped,
                  {{"request", m_request.id.text()}, {"index", QString::number(event.index)}});
         // Nothing after a gap can be delivered from this stream; a resume brings the rest.
-        if (verdict == TokenVerdict::Gap && !isBeside(stream))
-            stalled();
+        if (verdict == TokenVerdict::Gap && !isParallelResume(stream))
+            openParallelResume();
         return;
     }
     // A stalled link may come back to life beside its resume: the first of the two to bring
     // the next event goes on, and the other is dropped.
-    if (isBeside(stream))
-        m_stream = std::move(m_beside);
-    m_beside = {};
+    if (isParallelResume(stream))
+        m_stream = std::move(m_parallelResume);
+    m_parallelResume = {};
     deliver(event);
 }
 
@@ -228,46 +229,46 @@
 {
     const MonotonicTime now = m_context.timers.now();
     if (m_sequence.next > 1)
-        observeGap(m_context.gaps, std::chrono::duration_cast<Milliseconds>(now - m_lastEvent));
-    m_lastEvent = now;
-    m_resumeTries = 0;
+        recordGap(m_context.gaps, std::chrono::duration_cast<Milliseconds>(now - m_lastEventTime));
+    m_lastEventTime = now;
+    m_resumesWithoutEvent = 0;
     ++m_context.counters.tokensDelivered;
     m_context.targets.tokenReceived(m_attempt);
     if (m_request.atMostOnce) {
         m_events.append(event);
-        m_keptBytes += event.data.size();
+        m_bufferedBytes += event.data.size();
     }
     const QList<std::shared_ptr<AnswerSink>> sinks = m_sinks;
     for (const std::shared_ptr<AnswerSink> &sink : sinks)
         sink->deliver(event);
-    if (m_over)
+    if (m_hasEnded)
         return;
     if (m_sequence.complete)
         finish();
     else
-        watchForStall();
+        startStallTimer();
 }
 
-void GenerationRun::watchForStall()
+void GenerationRun::startStallTimer()
 {
-    watchForStall(m_sequence.next > 0 ? stallThreshold(m_context.gaps, m_context.stallLimits)
-                                      : m_context.stallLimits.ceiling);
+    startStallTimer(m_sequence.next > 0 ? stallThreshold(m_context.gaps, m_context.stallLimits)
+                                        : m_context.stallLimits.maxSilence);
 }
 
-void GenerationRun::watchForStall(Milliseconds silence)
+void GenerationRun::startStallTimer(Milliseconds silence)
 {
-    m_stallTimer = m_context.timers.after(silence, [this] { stalled(); });
+    m_stallTimer = m_context.timers.after(silence, [this] { openParallelResume(); });
 }
 
-void GenerationRun::stalled()
+void GenerationRun::openParallelResume()
 {
     // A link can stall without closing: neither side sees an error and the caller waits for
     // ever. A resume on a fresh connection beside it brings what the target has generated. Its
     // link may stall as well, so a resume that stays silent gives way to another.
-    if (m_over || m_target.isEmpty())
+    if (m_hasEnded || m_target.isEmpty())
         return;
-    if (m_unansweredResumes >= MostUnansweredResumes) {
-        targetUnreachable();
+    if (m_unansweredResumes >= MaxUnansweredResumes) {
+        resumesExhausted();
         return;
     }
     ++m_unansweredResumes;
@@ -276,33 +277,33 @@
              {{"request", m_request.id.text()},
               {"attempt", m_attempt.text()},
               {"from", QString::number(m_sequence.next)}});
-    m_beside = openStream(true);
-    watchForStall(m_context.stallLimits.ceiling);
+    m_parallelResume = openStream(true);
+    startStallTimer(m_context.stallLimits.maxSilence);
 }
 
 void GenerationRun::deadlinePassed()
 {
     const std::shared_ptr<GenerationRun> alive = shared_from_this();
-    if (m_over)
+    if (m_hasEnded)
         return;
     cancelAtTarget();
     fail({ErrorKind::DeadlineExceeded,
-          whatIsKnown(),
+          ranSoFar(),
           QStringLiteral("the answer was not complete by the deadline"),
           {},
           {}});
 }
 
-Ran GenerationRun::whatIsKnown() const
+Ran GenerationRun::ranSoFar() const
 {
-    if (m_sequence.next > 0 || m_began)
+    if (m_sequence.next > 0 || m_answerBegan)
         return Ran::Yes;
     return m_sent ? Ran::Maybe : Ran::No;
 }
 
 void GenerationRun::cancelAtTarget()
 {
-    if (m_acquiring)
+    if (m_isAcquiring)
         m_context.targets.withdraw(m_request.id);
     if (!m_sent)
         return;
@@ -311,10 +312,10 @@
     m_context.cancels.cancel(m_endpoint, m_attempt, m_incarnation, [](CancelOutcome) {});
 }
 
-void GenerationRun::dropStreams(AttemptOutcome outcome)
+void GenerationRun::endAttempt(AttemptOutcome outcome)
 {
     m_stream = {};
-    m_beside = {};
+    m_parallelResume = {};
     m_stallTimer.reset();
     m_resumeTimer.reset();
     if (!m_target.isEmpty())
@@ -324,39 +325,39 @@
 
 void GenerationRun::finish()
 {
-    dropStreams(AttemptOutcome::Finished);
+    endAttempt(AttemptOutcome::Finished);
     const QList<std::shared_ptr<AnswerSink>> sinks = std::exchange(m_sinks, {});
     for (const std::shared_ptr<AnswerSink> &sink : sinks)
         sink->finished();
-    over();
+    endRun();
 }
 
 void GenerationRun::fail(Error error)
 {
-    dropStreams(AttemptOutcome::Cancelled);
+    endAttempt(AttemptOutcome::Cancelled);
     // An idempotent request may be refused after an earlier attempt of it has run: "no" would
     // then be false of the request as a whole.
-    error.ran = std::max(error.ran, m_ranBefore);
+    error.ran = std::max(error.ran, m_ranInEarlierAttempts);
     m_failure = error;
     if (error.ran == Ran::No)
         m_claim.release();
     const QList<std::shared_ptr<AnswerSink>> sinks = std::exchange(m_sinks, {});
     for (const std::shared_ptr<AnswerSink> &sink : sinks)
         sink->failed(error);
-    over();
+    endRun();
 }
 
-void GenerationRun::over()
+void GenerationRun::endRun()
 {
-    if (m_over)
+    if (m_hasEnded)
         return;
-    m_over = true;
+    m_hasEnded = true;
     m_claim.abandon();
     m_deadlineTimer.reset();
     m_context.targets.requestEnded(m_request.id);
-    const EndedCallback ended = std::move(m_ended);
-    if (ended)
-        ended(*this);
+    const EndedCallback onEnded = std::move(m_onEnded);
+    if (onEnded)
+        onEnded(*this);
 }
 
 } // namespace cranberry
--- a/src/delivery/GenerationRun.h
+++ b/src/delivery/GenerationRun.h
@@ -35,11 +35,11 @@
     /// Told once when nothing further will happen in this run.
     using EndedCallback = std::function<void(GenerationRun &run)>;
     /// Told if another request holds the key, in place of an answer; the run is then over.
-    using HeldCallback = std::function<void(const ClaimDecision &held)>;
+    using ClaimHeldCallback = std::function<void(const ClaimDecision &holder)>;
 
     /// Precondition: @p context outlives the run.
-    GenerationRun(DeliveryContext &context, GenerationRequest request, EndedCallback ended,
-                  HeldCallback held);
+    GenerationRun(DeliveryContext &context, GenerationRequest request, EndedCallback onEnded,
+                  ClaimHeldCallback onClaimHeld);
     ~GenerationRun();
     GenerationRun(const GenerationRun &) = delete;
     GenerationRun &operator=(const GenerationRun &) = delete;
@@ -63,17 +63,17 @@
     const QList<TokenEvent> &events() const { return m_events; }
     /// The attempt under which it claimed; empty before.
     const AttemptId &claimAttempt() const { return m_claim.attempt(); }
-    bool isOver() const { return m_over; }
+    bool hasEnded() const { return m_hasEnded; }
     /// Every event up to the last was received.
-    bool isWhole() const { return m_sequence.complete; }
+    bool isComplete() const { return m_sequence.complete; }
     bool hasSinks() const { return !m_sinks.isEmpty(); }
-    qint64 keptBytes() const { return m_keptBytes; }
+    qint64 bufferedBytes() const { return m_bufferedBytes; }
     /// How it failed, once it is over and did.
     const std::optional<Error> &failure() const { return m_failure; }
 
 private:
     void acquireTarget();
-    void targetAcquired(const Result<TargetPlace> &place);
+    void targetAcquired(const Result<TargetAssignment> &assignment);
     void claimAndSend();
     void claimDecided(const Result<ClaimDecision> &decision);
     void send();
@@ -86,40 +86,41 @@
     };
 
     NumberedStream openStream(bool isResume);
-    bool isBeside(quint64 stream) const;
+    bool isParallelResume(quint64 stream) const;
     void streamEvent(const TokenEvent &event, quint64 stream);
     void deliver(const TokenEvent &event);
     void streamEnded(std::optional<SendFailure> failure, int status, const QString &reason,
                      quint64 stream);
-    void besideEnded(int status);
-    void sendFailed(SendFailure failure, int status, bool isResume, const QString &reason);
-    void resumeLater();
-    void targetUnreachable();
-    void settleByCancel(SendFailure failure, int status, const QString &reason);
-    void settled(CancelOutcome outcome, SendFailure failure, int status, const QString &reason);
-    void retryElsewhere(SendFailure failure, const QString &reason);
+    void parallelResumeEnded(int status);
+    void handleSendFailure(SendFailure failure, int status, bool isResume, const QString &reason);
+    void scheduleResume();
+    void resumesExhausted();
+    void cancelAndResolve(SendFailure failure, int status, const QString &reason);
+    void cancelAnswered(CancelOutcome outcome, SendFailure failure, int status,
+                        const QString &reason);
+    void retryOnOtherTarget(SendFailure failure, const QString &reason);
     void giveUp(SendFailure failure, const QString &reason);
     void giveUpAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason);
-    void watchForStall();
-    void watchForStall(Milliseconds silence);
-    void stalled();
+    void startStallTimer();
+    void startStallTimer(Milliseconds silence);
+    void openParallelResume();
     void deadlinePassed();
-    void dropStreams(AttemptOutcome outcome);
+    void endAttempt(AttemptOutcome outcome);
     void cancelAtTarget();
     void finish();
     void fail(Error error);
-    void over();
-    Ran whatIsKnown() const;
+    void endRun();
+    Ran ranSoFar() const;
 
     DeliveryContext &m_context;
     const GenerationRequest m_request;
     RequestClaim m_claim;
-    EndedCallback m_ended;
-    HeldCallback m_held;
+    EndedCallback m_onEnded;
+    ClaimHeldCallback m_onClaimHeld;
 
     QList<std::shared_ptr<AnswerSink>> m_sinks;
     QList<TokenEvent> m_events;
-    qint64 m_keptBytes = 0;
+    qint64 m_bufferedBytes = 0;
 
     AttemptId m_attempt;
     TargetId m_target;
@@ -130,22 +131,22 @@
     quint64 m_streamCount = 0;
     NumberedStream m_stream;
     /// A resume opened while the stream is silent but not closed.
-    NumberedStream m_beside;
+    NumberedStream m_parallelResume;
     std::unique_ptr<TimerSubscription> m_stallTimer;
     std::unique_ptr<TimerSubscription> m_deadlineTimer;
     std::unique_ptr<TimerSubscription> m_resumeTimer;
-    MonotonicTime m_lastEvent;
-    int m_resumeTries = 0;
+    MonotonicTime m_lastEventTime;
+    int m_resumesWithoutEvent = 0;
     int m_unansweredResumes = 0;
-    bool m_acquiring = false;
+    bool m_isAcquiring = false;
     bool m_isRetry = false;
     /// The target of the present attempt refuses connections.
-    bool m_targetGone = false;
+    bool m_isTargetUnreachable = false;
     bool m_sent = false;
-    bool m_began = false;
-    bool m_over = false;
+    bool m_answerBegan = false;
+    bool m_hasEnded = false;
     /// What earlier attempts of this request left behind; the last answer may not say less.
-    Ran m_ranBefore = Ran::No;
+    Ran m_ranInEarlierAttempts = Ran::No;
     std::optional<Error> m_failure;
 };
 
--- a/src/delivery/GenerationRunFailures.cpp
+++ b/src/delivery/GenerationRunFailures.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 /// Resumes in a row that bring no event before the generation counts as lost.
-constexpr int ResumeTries = 4;
-constexpr Milliseconds ResumeDelay{150};
+constexpr int MaxResumesWithoutEvent = 4;
+constexpr Milliseconds ResumeBackoffStep{150};
 constexpr int StatusNotFound = 404;
 
 /// Whether a target's answer @p status blames the request and not the target.
-bool isFaultOfRequest(int status)
+bool isInvalidRequestStatus(int status)
 {
     constexpr int BadRequest = 400;
     constexpr int TooLarge = 413;
@@ -30,15 +30,15 @@
 void GenerationRun::streamEnded(std::optional<SendFailure> failure, int status,
                                 const QString &reason, quint64 stream)
 {
-    if (m_over)
+    if (m_hasEnded)
         return;
-    if (isBeside(stream)) {
-        besideEnded(status);
+    if (isParallelResume(stream)) {
+        parallelResumeEnded(status);
         return;
     }
-    if (m_beside.stream) {
-        m_stream = std::move(m_beside);
-        m_beside = {};
+    if (m_parallelResume.stream) {
+        m_stream = std::move(m_parallelResume);
+        m_parallelResume = {};
         return;
     }
     const bool isResume = m_stream.isResume;
@@ -48,15 +48,15 @@
         giveUp(SendFailure::BrokenAfterStart, QStringLiteral("the target forgot the generation"));
         return;
     }
-    sendFailed(failure.value_or(SendFailure::BrokenAfterStart), status, isResume, reason);
+    handleSendFailure(failure.value_or(SendFailure::BrokenAfterStart), status, isResume, reason);
 }
 
-void GenerationRun::besideEnded(int status)
+void GenerationRun::parallelResumeEnded(int status)
 {
-    m_beside = {};
+    m_parallelResume = {};
     if (status != StatusNotFound) {
         // A resume that fails says nothing of the silent stream beside it.
-        watchForStall();
+        startStallTimer();
         return;
     }
     const QString reason = QStringLiteral("the target does not know the generation");
@@ -69,11 +69,11 @@
     // cancel settles which, and keeps a request that is still on its way from starting.
     m_stream = {};
     m_stallTimer.reset();
-    settleByCancel(SendFailure::BrokenBeforeAnswer, StatusNotFound, reason);
+    cancelAndResolve(SendFailure::BrokenBeforeAnswer, StatusNotFound, reason);
 }
 
-void GenerationRun::sendFailed(SendFailure failure, int status, bool isResume,
-                               const QString &reason)
+void GenerationRun::handleSendFailure(SendFailure failure, int status, bool isResume,
+                                      const QString &reason)
 {
     logEvent(LogLevel::Warning, EventId::AttemptFailed,
              {{"request", m_request.id.text()},
@@ -82,56 +82,56 @@
               {"failure", QLatin1String(sendFailureName(failure))},
               {"reason", reason}});
     // Of a resume that failed nothing follows for the send before it.
-    const bool mayHaveBegun = m_began || m_sequence.next > 0 || isResume;
+    const bool mayHaveBegun = m_answerBegan || m_sequence.next > 0 || isResume;
     const bool neverStarted = ranAfter(failure) == Ran::No && !mayHaveBegun;
     if (neverStarted) {
-        retryElsewhere(failure, reason);
+        retryOnOtherTarget(failure, reason);
         return;
     }
     const bool connectionFailed = failure == SendFailure::BrokenAfterStart
         || failure == SendFailure::BrokenBeforeAnswer || failure == SendFailure::NotConnected;
-    if (connectionFailed && m_resumeTries < ResumeTries) {
-        resumeLater();
+    if (connectionFailed && m_resumesWithoutEvent < MaxResumesWithoutEvent) {
+        scheduleResume();
         return;
     }
     if (m_sequence.next > 0) {
         giveUp(SendFailure::BrokenAfterStart, reason);
         return;
     }
-    settleByCancel(failure, status, reason);
+    cancelAndResolve(failure, status, reason);
 }
 
-void GenerationRun::resumeLater()
+void GenerationRun::scheduleResume()
 {
-    ++m_resumeTries;
+    ++m_resumesWithoutEvent;
     ++m_context.counters.resumes;
     logEvent(LogLevel::Info, EventId::StreamResumed,
              {{"request", m_request.id.text()},
               {"attempt", m_attempt.text()},
               {"from", QString::number(m_sequence.next)}});
-    m_resumeTimer = m_context.timers.after(ResumeDelay * (m_resumeTries - 1), [this] {
-        if (m_over)
+    m_resumeTimer = m_context.timers.after(ResumeBackoffStep * (m_resumesWithoutEvent - 1), [this] {
+        if (m_hasEnded)
             return;
         m_stream = openStream(true);
-        watchForStall();
+        startStallTimer();
     });
 }
 
-void GenerationRun::targetUnreachable()
+void GenerationRun::resumesExhausted()
 {
     // A target behind a partition neither closes the silent stream nor takes a resume: the
     // caller would wait to its deadline. One that is merely slow begins to answer a resume.
     const QString reason = QStringLiteral("silent, and no resume came through");
     m_stream = {};
-    m_beside = {};
+    m_parallelResume = {};
     m_stallTimer.reset();
     if (m_sequence.next > 0)
         giveUp(SendFailure::BrokenAfterStart, reason);
     else
-        settleByCancel(SendFailure::BrokenBeforeAnswer, 0, reason);
+        cancelAndResolve(SendFailure::BrokenBeforeAnswer, 0, reason);
 }
 
-void GenerationRun::settleByCancel(SendFailure failure, int status, const QString &reason)
+void GenerationRun::cancelAndResolve(SendFailure failure, int status, const QString &reason)
 {
     // Only the target can say whether a send whose answer was lost has run. Until it has been
     // told to cancel, a second send could run beside the first.
@@ -139,55 +139,56 @@
         m_endpoint, m_attempt, m_incarnation,
         [weak = weak_from_this(), failure, status, reason](CancelOutcome outcome) {
             const auto self = weak.lock();
-            if (self && !self->m_over)
-                self->settled(outcome, failure, status, reason);
+            if (self && !self->m_hasEnded)
+                self->cancelAnswered(outcome, failure, status, reason);
         });
 }
 
-void GenerationRun::settled(CancelOutcome outcome, SendFailure failure, int status,
-                            const QString &reason)
+void GenerationRun::cancelAnswered(CancelOutcome outcome, SendFailure failure, int status,
+                                   const QString &reason)
 {
-    if (failure == SendFailure::ErrorAnswer && isFaultOfRequest(status)) {
+    if (failure == SendFailure::ErrorAnswer && isInvalidRequestStatus(status)) {
         // Every other target would say the same of this request.
         const Ran ran = outcome == CancelOutcome::NotStarted ? Ran::No : ranAfter(failure);
         giveUpAs(ErrorKind::TargetRefused, ran, failure, reason);
         return;
     }
     if (outcome == CancelOutcome::NotStarted) {
-        retryElsewhere(SendFailure::CancelledBeforeStart, reason);
+        retryOnOtherTarget(SendFailure::CancelledBeforeStart, reason);
         return;
     }
     // What failed last may be a resume that did not connect, which alone would pass for "not
     // run"; the send before it did leave, and nobody vouches that it did not start.
-    SendFailure known = failure;
+    SendFailure reported = failure;
     if (outcome == CancelOutcome::Started)
-        known = SendFailure::CancelledAfterStart;
+        reported = SendFailure::CancelledAfterStart;
     else if (ranAfter(failure) == Ran::No)
-        known = SendFailure::BrokenBeforeAnswer;
-    m_targetGone = outcome == CancelOutcome::NoAnswer && failure == SendFailure::NotConnected;
+        reported = SendFailure::BrokenBeforeAnswer;
+    m_isTargetUnreachable =
+        outcome == CancelOutcome::NoAnswer && failure == SendFailure::NotConnected;
     if (m_request.atMostOnce)
-        giveUp(known, reason);
+        giveUp(reported, reason);
     else
-        retryElsewhere(known, reason);
+        retryOnOtherTarget(reported, reason);
 }
 
-void GenerationRun::retryElsewhere(SendFailure failure, const QString &reason)
+void GenerationRun::retryOnOtherTarget(SendFailure failure, const QString &reason)
 {
-    const TargetId failed = m_target;
-    m_ranBefore = std::max(m_ranBefore, ranAfter(failure));
-    dropStreams(outcomeAfter(failure));
+    const TargetId failedTarget = m_target;
+    m_ranInEarlierAttempts = std::max(m_ranInEarlierAttempts, ranAfter(failure));
+    endAttempt(outcomeAfter(failure));
     // The budget keeps retries from doubling the load. A send of which no byte left was no load,
     // and what ran on a target that is gone is none any more; neither can come about twice at
     // one target, since it is excluded now.
-    const bool isFree = failure == SendFailure::NotConnected || m_targetGone;
-    if (!isFree && !m_context.targets.takeRetry(m_request.workspace, failed)) {
+    const bool skipsRetryBudget = failure == SendFailure::NotConnected || m_isTargetUnreachable;
+    if (!skipsRetryBudget && !m_context.targets.takeRetry(m_request.workspace, failedTarget)) {
         giveUp(failure, reason);
         return;
     }
     ++m_context.counters.retries;
     logEvent(LogLevel::Info, EventId::AttemptRetried,
-             {{"request", m_request.id.text()}, {"after", failed.text()}});
-    m_excluded.insert(failed);
+             {{"request", m_request.id.text()}, {"after", failedTarget.text()}});
+    m_excluded.insert(failedTarget);
     m_isRetry = true;
     acquireTarget();
 }
@@ -212,7 +213,7 @@
     error.kind = kind;
     error.ran = ran;
     error.detail = QStringLiteral("%1: %2").arg(QLatin1String(sendFailureName(failure)), reason);
-    dropStreams(outcomeAfter(failure));
+    endAttempt(outcomeAfter(failure));
     fail(error);
 }
 
--- a/src/delivery/PlainRun.cpp
+++ b/src/delivery/PlainRun.cpp
@@ -24,9 +24,9 @@
 
 void PlainRun::start()
 {
-    const auto left =
+    const auto remaining =
         std::chrono::duration_cast<Milliseconds>(m_request.deadline - m_context.timers.now());
-    m_deadlineTimer = m_context.timers.after(std::max(left, Milliseconds(0)), [this] {
+    m_deadlineTimer = m_context.timers.after(std::max(remaining, Milliseconds(0)), [this] {
         const std::shared_ptr<PlainRun> alive = shared_from_this();
         fail({ErrorKind::DeadlineExceeded,
               m_sent ? Ran::Maybe : Ran::No,
@@ -51,27 +51,28 @@
     admission.attempt = m_attempt;
     admission.deadline = m_request.deadline;
     admission.retry = m_isRetry;
-    m_context.targets.acquire(demand, [weak = weak_from_this()](const Result<TargetPlace> &place) {
-        if (const auto self = weak.lock())
-            self->targetAcquired(place);
-    });
+    m_context.targets.acquire(
+        demand, [weak = weak_from_this()](const Result<TargetAssignment> &assignment) {
+            if (const auto self = weak.lock())
+                self->targetAcquired(assignment);
+        });
 }
 
-void PlainRun::targetAcquired(const Result<TargetPlace> &place)
+void PlainRun::targetAcquired(const Result<TargetAssignment> &assignment)
 {
-    if (m_over)
+    if (m_hasEnded)
         return;
-    if (!place) {
-        fail(place.error());
+    if (!assignment) {
+        fail(assignment.error());
         return;
     }
-    m_target = place.value().target;
-    m_endpoint = place.value().endpoint;
+    m_target = assignment.value().target;
+    m_endpoint = assignment.value().endpoint;
     if (!m_request.atMostOnce || m_claim.isHeld()) {
         send();
         return;
     }
-    m_claim.take(m_attempt, [weak = weak_from_this()](const Result<ClaimDecision> &decision) {
+    m_claim.acquire(m_attempt, [weak = weak_from_this()](const Result<ClaimDecision> &decision) {
         if (const auto self = weak.lock())
             self->claimDecided(decision);
     });
@@ -84,17 +85,18 @@
         return;
     }
     if (!m_claim.isHeld()) {
-        const bool same = decision.value().heldFingerprint == m_request.fingerprint;
-        fail(same ? Error{ErrorKind::OutcomeUnknown,
-                          Ran::Maybe,
-                          QStringLiteral("an earlier call holds this key; its answer is not kept"),
-                          {},
-                          {}}
-                  : Error{ErrorKind::IdempotencyKeyReused,
-                          Ran::No,
-                          QStringLiteral("the key belongs to a call with other content"),
-                          QStringLiteral("Idempotency-Key"),
-                          {}});
+        const bool isSameRequest = decision.value().holderFingerprint == m_request.fingerprint;
+        fail(isSameRequest
+                 ? Error{ErrorKind::OutcomeUnknown,
+                         Ran::Maybe,
+                         QStringLiteral("an earlier call holds this key; its answer is not kept"),
+                         {},
+                         {}}
+                 : Error{ErrorKind::IdempotencyKeyReused,
+                         Ran::No,
+                         QStringLiteral("the key belongs to a call with other content"),
+                         QStringLiteral("Idempotency-Key"),
+                         {}});
         return;
     }
     send();
@@ -119,22 +121,22 @@
 
 void PlainRun::exchangeEnded(HttpExchangeEnd end, const HttpResponse &response)
 {
-    if (m_over)
+    if (m_hasEnded)
         return;
     if (end != HttpExchangeEnd::Complete) {
-        sendFailed(failureOfExchange(end, false), response);
+        handleSendFailure(failureOfExchange(end, false), response);
         return;
     }
     const SendFailure failure = failureOfAnswer(response.status, response.body);
     if (ranAfter(failure) == Ran::No) {
-        sendFailed(failure, response);
+        handleSendFailure(failure, response);
         return;
     }
     releaseTarget(AttemptOutcome::Finished);
     finish(response);
 }
 
-void PlainRun::sendFailed(SendFailure failure, const HttpResponse &response)
+void PlainRun::handleSendFailure(SendFailure failure, const HttpResponse &response)
 {
     logEvent(LogLevel::Warning, EventId::AttemptFailed,
              {{"request", m_request.id.text()},
@@ -142,16 +144,17 @@
               {"target", m_target.text()},
               {"failure", QLatin1String(sendFailureName(failure))},
               {"status", QString::number(response.status)}});
-    const TargetId failed = m_target;
+    const TargetId failedTarget = m_target;
     const Ran ran = ranAfter(failure);
-    m_ranBefore = std::max(m_ranBefore, ran);
+    m_ranInEarlierAttempts = std::max(m_ranInEarlierAttempts, ran);
     releaseTarget(outcomeAfter(failure));
     const bool mayRunAgain = ran == Ran::No || !m_request.atMostOnce;
     // As in GenerationRun: what cost no target anything is not taken from the budget.
-    const bool isFree = failure == SendFailure::NotConnected;
-    if (mayRunAgain && (isFree || m_context.targets.takeRetry(m_request.workspace, failed))) {
+    const bool skipsRetryBudget = failure == SendFailure::NotConnected;
+    if (mayRunAgain
+        && (skipsRetryBudget || m_context.targets.takeRetry(m_request.workspace, failedTarget))) {
         ++m_context.counters.retries;
-        m_excluded.insert(failed);
+        m_excluded.insert(failedTarget);
         m_isRetry = true;
         acquireTarget();
         return;
@@ -173,13 +176,13 @@
 
 void PlainRun::fail(Error error)
 {
-    if (m_over)
+    if (m_hasEnded)
         return;
     if (m_target.isEmpty())
         m_context.targets.withdraw(m_request.id);
     releaseTarget(AttemptOutcome::Cancelled);
     // An earlier attempt may have run: the answer may not say less than that.
-    error.ran = std::max(error.ran, m_ranBefore);
+    error.ran = std::max(error.ran, m_ranInEarlierAttempts);
     if (error.ran == Ran::No)
         m_claim.release();
     finish(error);
@@ -187,7 +190,7 @@
 
 void PlainRun::finish(const Result<HttpResponse> &answer)
 {
-    m_over = true;
+    m_hasEnded = true;
     m_claim.abandon();
     m_deadlineTimer.reset();
     m_context.targets.requestEnded(m_request.id);
--- a/src/delivery/PlainRun.h
+++ b/src/delivery/PlainRun.h
@@ -40,11 +40,11 @@
 
 private:
     void acquireTarget();
-    void targetAcquired(const Result<TargetPlace> &place);
+    void targetAcquired(const Result<TargetAssignment> &assignment);
     void claimDecided(const Result<ClaimDecision> &decision);
     void send();
     void exchangeEnded(HttpExchangeEnd end, const HttpResponse &response);
-    void sendFailed(SendFailure failure, const HttpResponse &response);
+    void handleSendFailure(SendFailure failure, const HttpResponse &response);
     void releaseTarget(AttemptOutcome outcome);
     void finish(const Result<HttpResponse> &answer);
     void fail(Error error);
@@ -59,10 +59,10 @@
     QSet<TargetId> m_excluded;
     std::unique_ptr<HttpExchange> m_exchange;
     std::unique_ptr<TimerSubscription> m_deadlineTimer;
-    Ran m_ranBefore = Ran::No;
+    Ran m_ranInEarlierAttempts = Ran::No;
     bool m_isRetry = false;
     bool m_sent = false;
-    bool m_over = false;
+    bool m_hasEnded = false;
 };
 
 } // namespace cranberry
--- a/src/delivery/RequestClaim.h
+++ b/src/delivery/RequestClaim.h
@@ -16,7 +16,7 @@
 {
 public:
     /// Precondition: @p gate outlives every claim under way.
-    RequestClaim(ClaimGate &gate, QByteArray key, QByteArray fingerprint);
+    RequestClaim(ClaimService &claims, QByteArray key, QByteArray fingerprint);
     ~RequestClaim();
     RequestClaim(const RequestClaim &) = delete;
     RequestClaim &operator=(const RequestClaim &) = delete;
@@ -28,7 +28,7 @@
 
     /// Claims for @p attempt; @p callback is called once unless abandon() comes first.
     /// Precondition: not taken before.
-    void take(const AttemptId &attempt, ClaimGate::Callback callback);
+    void acquire(const AttemptId &attempt, ClaimService::Callback callback);
 
     /// The request is over: a claim still under way is given back if it is won. One that is held
     /// stays.
@@ -43,7 +43,7 @@
         bool abandoned = false;
     };
 
-    ClaimGate &m_gate;
+    ClaimService &m_claims;
     QByteArray m_key;
     QByteArray m_fingerprint;
     AttemptId m_attempt;
--- a/src/delivery/RunRegistry.cpp
+++ b/src/delivery/RunRegistry.cpp
@@ -17,7 +17,7 @@
 RunRegistry::RunRegistry(DeliveryContext &context, RunRetention retention)
     : m_context(context)
     , m_retention(retention)
-    , m_sweep(context.timers.every(SweepInterval, [this] { sweep(); }))
+    , m_sweepTimer(context.timers.every(SweepInterval, [this] { sweep(); }))
 {
 }
 
@@ -25,14 +25,14 @@
 
 std::shared_ptr<GenerationRun> RunRegistry::start(GenerationRequest request,
                                                   const std::shared_ptr<AnswerSink> &sink,
-                                                  GenerationRun::HeldCallback held)
+                                                  GenerationRun::ClaimHeldCallback onClaimHeld)
 {
     auto run = std::make_shared<GenerationRun>(
         m_context, std::move(request), [this](GenerationRun &ended) { runEnded(ended); },
-        std::move(held));
+        std::move(onClaimHeld));
     m_running.emplace(run.get(), run);
     if (run->request().atMostOnce)
-        m_byClaim.insert(run->request().claimKey, run);
+        m_runsByClaim.insert(run->request().claimKey, run);
     run->attach(sink);
     run->start();
     return run;
@@ -40,7 +40,7 @@
 
 std::shared_ptr<GenerationRun> RunRegistry::findByClaim(const QByteArray &claimKey) const
 {
-    return m_byClaim.value(claimKey);
+    return m_runsByClaim.value(claimKey);
 }
 
 void RunRegistry::runEnded(GenerationRun &run)
@@ -50,53 +50,53 @@
         return;
     const std::shared_ptr<GenerationRun> ended = found->second;
     m_running.erase(found);
-    m_abandoned.erase(&run);
+    m_abandonedSince.erase(&run);
     if (run.request().atMostOnce)
-        keep(ended);
-    if (m_running.empty() && m_idle)
-        m_idle();
+        retain(ended);
+    if (m_running.empty() && m_onIdle)
+        m_onIdle();
 }
 
-void RunRegistry::keep(const std::shared_ptr<GenerationRun> &run)
+void RunRegistry::retain(const std::shared_ptr<GenerationRun> &run)
 {
     // A request that did not run may be sent again as if it were new; one that another request
     // holds is not this daemon's to answer.
-    const bool wholeOrRan = run->failure() ? run->failure()->ran != Ran::No : run->isWhole();
-    if (!wholeOrRan) {
-        m_byClaim.remove(run->request().claimKey);
+    const bool isReplayable = run->failure() ? run->failure()->ran != Ran::No : run->isComplete();
+    if (!isReplayable) {
+        m_runsByClaim.remove(run->request().claimKey);
         return;
     }
-    m_keptBytes += run->keptBytes();
-    m_finished.push_back({run, m_context.timers.now() + m_retention.finished});
-    while (m_keptBytes > m_retention.total.value() && !m_finished.empty())
-        forgetOldest();
+    m_retainedBytes += run->bufferedBytes();
+    m_retained.push_back({run, m_context.timers.now() + m_retention.finishedDuration});
+    while (m_retainedBytes > m_retention.maxBytes.value() && !m_retained.empty())
+        evictOldest();
 }
 
-void RunRegistry::forgetOldest()
+void RunRegistry::evictOldest()
 {
-    const std::shared_ptr<GenerationRun> run = m_finished.front().run;
-    m_finished.pop_front();
-    m_keptBytes -= run->keptBytes();
-    if (m_byClaim.value(run->request().claimKey) == run)
-        m_byClaim.remove(run->request().claimKey);
+    const std::shared_ptr<GenerationRun> run = m_retained.front().run;
+    m_retained.pop_front();
+    m_retainedBytes -= run->bufferedBytes();
+    if (m_runsByClaim.value(run->request().claimKey) == run)
+        m_runsByClaim.remove(run->request().claimKey);
 }
 
 void RunRegistry::sweep()
 {
     const MonotonicTime now = m_context.timers.now();
-    while (!m_finished.empty() && m_finished.front().until <= now)
-        forgetOldest();
-    std::vector<std::shared_ptr<GenerationRun>> overdue;
+    while (!m_retained.empty() && m_retained.front().expiry <= now)
+        evictOldest();
+    std::vector<std::shared_ptr<GenerationRun>> abandonedRuns;
     for (const auto &[key, run] : m_running) {
         if (run->hasSinks()) {
-            m_abandoned.erase(key);
+            m_abandonedSince.erase(key);
             continue;
         }
-        const MonotonicTime since = m_abandoned.emplace(key, now).first->second;
-        if (now - since >= m_retention.abandoned)
-            overdue.push_back(run);
+        const MonotonicTime since = m_abandonedSince.emplace(key, now).first->second;
+        if (now - since >= m_retention.abandonedTimeout)
+            abandonedRuns.push_back(run);
     }
-    for (const std::shared_ptr<GenerationRun> &run : overdue)
+    for (const std::shared_ptr<GenerationRun> &run : abandonedRuns)
         run->cancelIfAbandoned();
 }
 
--- a/src/delivery/RunRegistry.h
+++ b/src/delivery/RunRegistry.h
@@ -21,10 +21,10 @@
 
 /// Bounds on what is kept of finished at-most-once runs for senders that come again.
 struct RunRetention {
-    Milliseconds finished{60'000};
-    Bytes total{32 * 1024 * 1024};
+    Milliseconds finishedDuration{60'000};
+    Bytes maxBytes{32 * 1024 * 1024};
     /// Time for which an at-most-once run goes on after its caller has left.
-    Milliseconds abandoned{30'000};
+    Milliseconds abandonedTimeout{30'000};
 };
 
 /// Owns runs from their start to the end of their retention.
@@ -40,7 +40,7 @@
     /// Starts a run with one sink.
     std::shared_ptr<GenerationRun> start(GenerationRequest request,
                                          const std::shared_ptr<AnswerSink> &sink,
-                                         GenerationRun::HeldCallback held);
+                                         GenerationRun::ClaimHeldCallback onClaimHeld);
 
     /// The run that holds @p claimKey here, running or lately finished; null if there is none.
     std::shared_ptr<GenerationRun> findByClaim(const QByteArray &claimKey) const;
@@ -49,28 +49,28 @@
     int running() const { return int(m_running.size()); }
 
     /// @p callback is called whenever no run is left.
-    void onIdle(std::function<void()> callback) { m_idle = std::move(callback); }
+    void onIdle(std::function<void()> callback) { m_onIdle = std::move(callback); }
 
 private:
-    struct Finished {
+    struct RetainedRun {
         std::shared_ptr<GenerationRun> run;
-        MonotonicTime until;
+        MonotonicTime expiry;
     };
 
     void runEnded(GenerationRun &run);
-    void keep(const std::shared_ptr<GenerationRun> &run);
-    void forgetOldest();
+    void retain(const std::shared_ptr<GenerationRun> &run);
+    void evictOldest();
     void sweep();
 
     DeliveryContext &m_context;
     const RunRetention m_retention;
     std::unordered_map<const GenerationRun *, std::shared_ptr<GenerationRun>> m_running;
-    QHash<QByteArray, std::shared_ptr<GenerationRun>> m_byClaim;
-    std::list<Finished> m_finished;
-    qint64 m_keptBytes = 0;
-    std::unordered_map<const GenerationRun *, MonotonicTime> m_abandoned;
-    std::unique_ptr<TimerSubscription> m_sweep;
-    std::function<void()> m_idle;
+    QHash<QByteArray, std::shared_ptr<GenerationRun>> m_runsByClaim;
+    std::list<RetainedRun> m_retained;
+    qint64 m_retainedBytes = 0;
+    std::unordered_map<const GenerationRun *, MonotonicTime> m_abandonedSince;
+    std::unique_ptr<TimerSubscription> m_sweepTimer;
+    std::function<void()> m_onIdle;
 };
 
 } // namespace cranberry
--- a/src/delivery/SendFailure.cpp
+++ b/src/delivery/SendFailure.cpp
@@ -42,13 +42,13 @@
     case SendFailure::ErrorAnswer:
         return AttemptOutcome::Refused;
     case SendFailure::NotConnected:
-        return AttemptOutcome::NotReached;
+        return AttemptOutcome::NotConnected;
     case SendFailure::BrokenBeforeAnswer:
     case SendFailure::MalformedAnswer:
     case SendFailure::BrokenAfterStart:
         break;
     }
-    return AttemptOutcome::TargetLost;
+    return AttemptOutcome::ConnectionLost;
 }
 
 const char *sendFailureName(SendFailure failure)
--- a/src/delivery/ServerSentEvents.cpp
+++ b/src/delivery/ServerSentEvents.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr qsizetype LongestEventBytes = 1024 * 1024;
+constexpr qsizetype MaxEventBytes = 1024 * 1024;
 
 void applyLine(ServerSentEvent &event, QByteArray line)
 {
@@ -49,7 +49,7 @@
 
 } // namespace
 
-QList<ServerSentEvent> ServerSentEvents::feed(const QByteArray &bytes)
+QList<ServerSentEvent> ServerSentEventParser::feed(const QByteArray &bytes)
 {
     QList<ServerSentEvent> events;
     if (m_malformed)
@@ -67,7 +67,7 @@
         event.raw = std::exchange(m_skipped, {});
         events.append(event);
     }
-    m_malformed = m_pending.size() + m_skipped.size() > LongestEventBytes;
+    m_malformed = m_pending.size() + m_skipped.size() > MaxEventBytes;
     return events;
 }
 
--- a/src/delivery/ServerSentEvents.h
+++ b/src/delivery/ServerSentEvents.h
@@ -1,4 +1,4 @@
-// Defines ServerSentEvents, which cuts a byte stream into server-sent events.
+// Defines ServerSentEventParser, which cuts a byte stream into server-sent events.
 #pragma once
 
 #include <QByteArray>
@@ -17,7 +17,7 @@
 /// Collects bytes until an event is whole. Source: the event stream format of the HTML
 /// standard, as far as targets use it (id, event, data; LF or CRLF).
 /// Thread safety: none; one object belongs to one stream.
-class ServerSentEvents
+class ServerSentEventParser
 {
 public:
     /// Events that are whole with @p bytes. An unfinished event over the bound makes
@@ -27,7 +27,7 @@
     bool isMalformed() const { return m_malformed; }
 
     /// Bytes that belong to no whole event.
-    QByteArray rest() const { return m_skipped + m_pending; }
+    QByteArray unparsedBytes() const { return m_skipped + m_pending; }
 
 private:
     QByteArray m_pending;
--- a/src/delivery/StallThreshold.cpp
+++ b/src/delivery/StallThreshold.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr double Decay = 0.02;
-constexpr double Deviations = 8.0;
-constexpr qint64 EnoughGaps = 20;
+constexpr double MinGapWeight = 0.02;
+constexpr double StallDeviations = 8.0;
+constexpr qint64 MinGapCount = 20;
 
 } // namespace
 
-void observeGap(GapStatistics &statistics, Milliseconds gap)
+void recordGap(GapStatistics &statistics, Milliseconds gap)
 {
     const double value = double(gap.count());
     ++statistics.count;
-    const double weight = std::max(Decay, 1.0 / double(statistics.count));
+    const double weight = std::max(MinGapWeight, 1.0 / double(statistics.count));
     const double difference = value - statistics.meanMs;
     statistics.meanMs += weight * difference;
     statistics.varianceMs += weight * (difference * difference - statistics.varianceMs);
@@ -25,10 +25,10 @@
 
 Milliseconds stallThreshold(const GapStatistics &statistics, const StallLimits &limits)
 {
-    if (statistics.count < EnoughGaps)
-        return limits.ceiling;
-    const double silence = statistics.meanMs + Deviations * std::sqrt(statistics.varianceMs);
-    return std::clamp(Milliseconds(qint64(silence)), limits.floor, limits.ceiling);
+    if (statistics.count < MinGapCount)
+        return limits.maxSilence;
+    const double silence = statistics.meanMs + StallDeviations * std::sqrt(statistics.varianceMs);
+    return std::clamp(Milliseconds(qint64(silence)), limits.minSilence, limits.maxSilence);
 }
 
 } // namespace cranberry
--- a/src/delivery/StallThreshold.h
+++ b/src/delivery/StallThreshold.h
@@ -15,13 +15,13 @@
 /// Bounds of the watchdog, from the settings.
 struct StallLimits {
     /// Below this a stream is never taken for stalled: engines pause while they read prompts.
-    Milliseconds floor{400};
+    Milliseconds minSilence{400};
     /// Above this it always is; also holds before the first event.
-    Milliseconds ceiling{3000};
+    Milliseconds maxSilence{3000};
 };
 
 /// Adds one gap. Thread safety: none; the caller owns @p statistics.
-void observeGap(GapStatistics &statistics, Milliseconds gap);
+void recordGap(GapStatistics &statistics, Milliseconds gap);
 
 /// Silence after which a resume is opened beside the stream: the mean gap and several
 /// standard deviations, within the limits. Thread-safe.
--- a/src/delivery/TargetCancels.cpp
+++ b/src/delivery/TargetCancels.cpp
@@ -12,7 +12,8 @@
 
 constexpr Milliseconds CancelTimeout{2000};
 
-CancelOutcome outcomeOf(HttpExchangeEnd end, const HttpResponse &response, Incarnation sentTo)
+CancelOutcome outcomeOf(HttpExchangeEnd end, const HttpResponse &response,
+                        Incarnation sentIncarnation)
 {
     if (end != HttpExchangeEnd::Complete || response.status != 200)
         return CancelOutcome::NoAnswer;
@@ -23,8 +24,9 @@
     if (started.toBool())
         return CancelOutcome::Started;
     const Incarnation incarnation(qint64(answer.value(QStringLiteral("incarnation")).toDouble()));
-    const bool vouches = sentTo != Incarnation(0) && incarnation == sentTo;
-    return vouches ? CancelOutcome::NotStarted : CancelOutcome::NoAnswer;
+    const bool isSentIncarnation =
+        sentIncarnation != Incarnation(0) && incarnation == sentIncarnation;
+    return isSentIncarnation ? CancelOutcome::NotStarted : CancelOutcome::NoAnswer;
 }
 
 } // namespace
@@ -37,7 +39,7 @@
 TargetCancels::~TargetCancels() = default;
 
 void TargetCancels::cancel(const HttpEndpoint &endpoint, const AttemptId &attempt,
-                           Incarnation sentTo, Callback callback)
+                           Incarnation sentIncarnation, Callback callback)
 {
     HttpRequest request;
     request.method = "DELETE";
@@ -45,13 +47,14 @@
     HttpExchangeOptions options;
     options.timeout = CancelTimeout;
     const quint64 number = m_nextNumber++;
-    m_exchanges[number] = m_client.fetch(endpoint, request, options,
-                                         [this, number, sentTo, callback = std::move(callback)](
-                                             HttpExchangeEnd end, const HttpResponse &response) {
-                                             const auto exchange = std::move(m_exchanges[number]);
-                                             m_exchanges.erase(number);
-                                             callback(outcomeOf(end, response, sentTo));
-                                         });
+    m_exchanges[number] =
+        m_client.fetch(endpoint, request, options,
+                       [this, number, sentIncarnation, callback = std::move(callback)](
+                           HttpExchangeEnd end, const HttpResponse &response) {
+                           const auto exchange = std::move(m_exchanges[number]);
+                           m_exchanges.erase(number);
+                           callback(outcomeOf(end, response, sentIncarnation));
+                       });
 }
 
 } // namespace cranberry
--- a/src/delivery/TargetCancels.h
+++ b/src/delivery/TargetCancels.h
@@ -41,7 +41,7 @@
     /// answer comes from the target's start @p sentTo: one that was started anew knows nothing
     /// of what ran before. Incarnations only grow and @p sentTo was known before the send, so
     /// the same one now was there all the time.
-    void cancel(const HttpEndpoint &endpoint, const AttemptId &attempt, Incarnation sentTo,
+    void cancel(const HttpEndpoint &endpoint, const AttemptId &attempt, Incarnation sentIncarnation,
                 Callback callback);
 
 private:
--- a/src/delivery/TargetSource.h
+++ b/src/delivery/TargetSource.h
@@ -13,7 +13,7 @@
 struct TargetDemand;
 
 /// A target that an attempt may be sent to.
-struct TargetPlace {
+struct TargetAssignment {
     TargetId target;
     HttpEndpoint endpoint;
     /// The start of the target that was known when it was chosen; 0 if none was.
@@ -29,9 +29,9 @@
     /// The target refused it because it leaves.
     Leaving,
     /// No connection came about: the target may be dead, and the attempt is not to blame.
-    NotReached,
+    NotConnected,
     /// The connection broke: the target may be dead, and the attempt may be to blame.
-    TargetLost,
+    ConnectionLost,
 };
 
 /// Admission and placement as delivery sees them.
@@ -39,7 +39,7 @@
 class TargetSource
 {
 public:
-    using Callback = std::function<void(const Result<TargetPlace> &)>;
+    using Callback = std::function<void(const Result<TargetAssignment> &)>;
 
     TargetSource() = default;
     virtual ~TargetSource() = default;
--- a/src/delivery/TargetStream.cpp
+++ b/src/delivery/TargetStream.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int StatusOk = 200;
-constexpr qsizetype ErrorBodyBytes = 64 * 1024;
+constexpr qsizetype MaxErrorBodyBytes = 64 * 1024;
 constexpr Milliseconds ConnectTimeout{1000};
 
 } // namespace
@@ -48,14 +48,14 @@
         finish(SendFailure::MalformedAnswer, QStringLiteral("answer to another attempt"));
         return;
     }
-    m_began = true;
-    m_callbacks.began();
+    m_answerBegan = true;
+    m_callbacks.answerBegan();
 }
 
 void TargetStream::bytesArrived(const QByteArray &bytes)
 {
-    if (!m_began) {
-        m_errorBody += bytes.left(ErrorBodyBytes - m_errorBody.size());
+    if (!m_answerBegan) {
+        m_errorBody += bytes.left(MaxErrorBodyBytes - m_errorBody.size());
         return;
     }
     const std::shared_ptr<bool> destroyed = m_destroyed;
@@ -67,7 +67,7 @@
             finish(SendFailure::BrokenAfterStart, token.error().detail);
             return;
         }
-        m_sawLast = m_sawLast || token.value().isLast();
+        m_lastEventReceived = m_lastEventReceived || token.value().isLast();
         m_callbacks.event(token.value());
         if (*destroyed)
             return;
@@ -79,14 +79,14 @@
 void TargetStream::exchangeEnded(HttpExchangeEnd end, const QString &reason)
 {
     if (end != HttpExchangeEnd::Complete) {
-        finish(failureOfExchange(end, m_began), reason);
+        finish(failureOfExchange(end, m_answerBegan), reason);
         return;
     }
-    if (!m_began) {
+    if (!m_answerBegan) {
         finish(failureOfAnswer(m_status, m_errorBody), QString::fromUtf8(m_errorBody.left(200)));
         return;
     }
-    if (!m_sawLast) {
+    if (!m_lastEventReceived) {
         finish(SendFailure::BrokenAfterStart, QStringLiteral("answer without a last event"));
         return;
     }
--- a/src/delivery/TargetStream.h
+++ b/src/delivery/TargetStream.h
@@ -21,7 +21,7 @@
 /// What the owner of a target stream is told. A callback may destroy the stream.
 struct TargetStreamCallbacks {
     /// The target began to answer, so it has started.
-    std::function<void()> began;
+    std::function<void()> answerBegan;
     std::function<void(const TokenEvent &event)> event;
     /// Called once, last: nothing if the stream closed regularly after its last event.
     std::function<void(std::optional<SendFailure> failure, int status, const QString &reason)>
@@ -49,11 +49,11 @@
 
     AttemptId m_attempt;
     TargetStreamCallbacks m_callbacks;
-    ServerSentEvents m_events;
+    ServerSentEventParser m_events;
     QByteArray m_errorBody;
     int m_status = 0;
-    bool m_began = false;
-    bool m_sawLast = false;
+    bool m_answerBegan = false;
+    bool m_lastEventReceived = false;
     std::shared_ptr<bool> m_destroyed;
     std::unique_ptr<HttpExchange> m_exchange;
 };
--- a/src/gateway/AnswerMetrics.h
+++ b/src/gateway/AnswerMetrics.h
@@ -10,10 +10,10 @@
 
 /// Only grows. No workspace is named: what one workspace does is nobody else's to see.
 struct AnswerMetrics {
-    qint64 whole = 0;
+    qint64 completed = 0;
     std::array<qint64, ErrorKindCount> failedByKind{};
-    LatencyHistogram firstToken;
-    LatencyHistogram betweenTokens;
+    LatencyHistogram timeToFirstToken;
+    LatencyHistogram interTokenLatency;
 };
 
 } // namespace cranberry
--- a/src/gateway/CallerHeaders.cpp
+++ b/src/gateway/CallerHeaders.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr qsizetype LongestKey = 255;
-constexpr qint64 LongestDeadlineMs = 24 * 60 * 60 * 1000;
-constexpr qint64 HighestPriority = 9;
+constexpr qsizetype MaxKeyBytes = 255;
+constexpr qint64 MaxDeadlineMs = 24 * 60 * 60 * 1000;
+constexpr qint64 MaxPriority = 9;
 
 Error badHeader(const char *name, const QString &allowed, const QByteArray &value)
 {
@@ -24,16 +24,16 @@
 }
 
 /// Reads a whole number in [least, most]; nothing if the header is absent.
-Result<std::optional<qint64>> numberHeader(const HttpRequest &request, const char *name,
-                                           qint64 least, qint64 most)
+Result<std::optional<qint64>> numberHeader(const HttpRequest &request, const char *name, qint64 min,
+                                           qint64 max)
 {
     if (!request.headers.contains(name))
         return std::optional<qint64>();
     const QByteArray value = request.headers.value(name);
     bool isNumber = false;
     const qint64 number = value.trimmed().toLongLong(&isNumber);
-    if (!isNumber || number < least || number > most)
-        return badHeader(name, QStringLiteral("%1..%2").arg(least).arg(most), value);
+    if (!isNumber || number < min || number > max)
+        return badHeader(name, QStringLiteral("%1..%2").arg(min).arg(max), value);
     return std::optional<qint64>(number);
 }
 
@@ -53,7 +53,7 @@
 {
     CallerHeaders headers;
     headers.idempotencyKey = request.headers.value("Idempotency-Key").trimmed();
-    if (headers.idempotencyKey.size() > LongestKey)
+    if (headers.idempotencyKey.size() > MaxKeyBytes)
         return badHeader("Idempotency-Key", QStringLiteral("at most 255 bytes"),
                          headers.idempotencyKey);
     if (request.headers.contains("Cranberry-Idempotent")) {
@@ -62,19 +62,19 @@
             return badHeader("Cranberry-Idempotent", QStringLiteral("yes or no"), value);
         headers.atMostOnce = value == "no";
     }
-    const auto deadline = numberHeader(request, "Cranberry-Deadline-Ms", 1, LongestDeadlineMs);
+    const auto deadline = numberHeader(request, "Cranberry-Deadline-Ms", 1, MaxDeadlineMs);
     if (!deadline)
         return deadline.error();
     if (deadline.value())
         headers.deadline = Milliseconds(*deadline.value());
-    const auto priority = numberHeader(request, "Cranberry-Priority", 0, HighestPriority);
+    const auto priority = numberHeader(request, "Cranberry-Priority", 0, MaxPriority);
     if (!priority)
         return priority.error();
     headers.priority = int(priority.value().value_or(0));
     return headers;
 }
 
-Result<void> checkOnceKey(const QByteArray &idempotencyKey, const ArrivalTime &arrival)
+Result<void> checkAtMostOnceKey(const QByteArray &idempotencyKey, const ArrivalTime &arrival)
 {
     if (idempotencyKey.isEmpty())
         return keyRequired();
--- a/src/gateway/CallerHeaders.h
+++ b/src/gateway/CallerHeaders.h
@@ -29,6 +29,6 @@
 /// Whether a request that must run at most once may run under this key. Error
 /// IdempotencyKeyRequired: there is none. Error BadHeader: it says that it is older than claims
 /// are kept, so that nobody could tell whether the request has run. Thread-safe.
-Result<void> checkOnceKey(const QByteArray &idempotencyKey, const ArrivalTime &arrival);
+Result<void> checkAtMostOnceKey(const QByteArray &idempotencyKey, const ArrivalTime &arrival);
 
 } // namespace cranberry
--- a/src/gateway/CompletionAnswer.cpp
+++ b/src/gateway/CompletionAnswer.cpp
@@ -16,7 +16,7 @@
 
 CompletionAnswer::CompletionAnswer(std::shared_ptr<HttpResponder> responder,
                                    const CompletionRequest &request, TimerService &timers,
-                                   AnswerMetrics &metrics, std::function<void()> tooSlow)
+                                   AnswerMetrics &metrics, std::function<void()> onSlowReader)
     : m_responder(std::move(responder))
     , m_request(request.generation.id)
     , m_model(request.generation.model)
@@ -24,8 +24,8 @@
     , m_stream(request.stream)
     , m_timers(timers)
     , m_metrics(metrics)
-    , m_lastEvent(timers.now())
-    , m_tooSlow(std::move(tooSlow))
+    , m_lastEventTime(timers.now())
+    , m_onSlowReader(std::move(onSlowReader))
 {
 }
 
@@ -33,7 +33,7 @@
 
 void CompletionAnswer::deliver(const TokenEvent &event)
 {
-    recordTime();
+    recordLatency();
     if (m_stream) {
         write("id: " + QByteArray::number(event.index) + "\ndata: " + event.data + "\n\n");
         return;
@@ -46,14 +46,15 @@
     m_generation = event.attempt.text();
 }
 
-void CompletionAnswer::recordTime()
+void CompletionAnswer::recordLatency()
 {
     const MonotonicTime now = m_timers.now();
-    const std::chrono::duration<double, std::milli> gap = now - m_lastEvent;
-    LatencyHistogram &histogram = m_hadEvent ? m_metrics.betweenTokens : m_metrics.firstToken;
+    const std::chrono::duration<double, std::milli> gap = now - m_lastEventTime;
+    LatencyHistogram &histogram =
+        m_hasFirstEvent ? m_metrics.interTokenLatency : m_metrics.timeToFirstToken;
     histogram.add(gap.count());
-    m_hadEvent = true;
-    m_lastEvent = now;
+    m_hasFirstEvent = true;
+    m_lastEventTime = now;
 }
 
 void CompletionAnswer::write(const QByteArray &bytes)
@@ -66,21 +67,21 @@
     }
     if (m_responder->write(bytes) != HttpResponder::WriteResult::TooSlow)
         return;
-    const std::function<void()> tooSlow = std::exchange(m_tooSlow, nullptr);
-    if (tooSlow)
-        tooSlow();
+    const std::function<void()> onSlowReader = std::exchange(m_onSlowReader, nullptr);
+    if (onSlowReader)
+        onSlowReader();
 }
 
 void CompletionAnswer::finished()
 {
-    ++m_metrics.whole;
+    ++m_metrics.completed;
     logEvent(LogLevel::Info, EventId::RequestFinished, {{"request", m_request.text()}});
     if (m_stream) {
         write("data: [DONE]\n\n");
         m_responder->end();
         return;
     }
-    HttpResponse response = jsonResponse(200, wholeBody());
+    HttpResponse response = jsonResponse(200, completeBody());
     response.headers.add("Cranberry-Request", m_request.text().toUtf8());
     m_responder->send(response);
 }
@@ -104,7 +105,7 @@
         m_responder->abort();
 }
 
-QByteArray CompletionAnswer::wholeBody() const
+QByteArray CompletionAnswer::completeBody() const
 {
     const bool chat = m_shape == CompletionShape::Chat;
     QJsonObject choice{{QStringLiteral("index"), 0},
--- a/src/gateway/CompletionAnswer.h
+++ b/src/gateway/CompletionAnswer.h
@@ -24,7 +24,8 @@
     /// @p tooSlow is called, once, when the caller does not read its stream.
     /// Precondition: @p timers and @p metrics outlive the answer.
     CompletionAnswer(std::shared_ptr<HttpResponder> responder, const CompletionRequest &request,
-                     TimerService &timers, AnswerMetrics &metrics, std::function<void()> tooSlow);
+                     TimerService &timers, AnswerMetrics &metrics,
+                     std::function<void()> onSlowReader);
     ~CompletionAnswer() override;
 
     void deliver(const TokenEvent &event) override;
@@ -33,8 +34,8 @@
 
 private:
     void write(const QByteArray &bytes);
-    void recordTime();
-    QByteArray wholeBody() const;
+    void recordLatency();
+    QByteArray completeBody() const;
 
     std::shared_ptr<HttpResponder> m_responder;
     RequestId m_request;
@@ -43,9 +44,9 @@
     bool m_stream;
     TimerService &m_timers;
     AnswerMetrics &m_metrics;
-    MonotonicTime m_lastEvent;
-    bool m_hadEvent = false;
-    std::function<void()> m_tooSlow;
+    MonotonicTime m_lastEventTime;
+    bool m_hasFirstEvent = false;
+    std::function<void()> m_onSlowReader;
     QString m_text;
     QString m_finishReason;
     QByteArray m_usage;
--- a/src/gateway/CompletionRequest.cpp
+++ b/src/gateway/CompletionRequest.cpp
@@ -159,7 +159,7 @@
     generation.atMostOnce = headers.atMostOnce.value_or(service.atMostOnce);
     const bool hasKey = !headers.idempotencyKey.isEmpty();
     if (generation.atMostOnce) {
-        BOOST_OUTCOME_TRY(checkOnceKey(headers.idempotencyKey, arrival));
+        BOOST_OUTCOME_TRY(checkAtMostOnceKey(headers.idempotencyKey, arrival));
     }
     if (hasKey)
         generation.claimKey = claimKeyOf(generation.workspace, headers.idempotencyKey);
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -32,7 +32,7 @@
     return {status, {{"Content-Type", "text/plain; charset=utf-8"}}, text};
 }
 
-Error keyReused()
+Error keyReusedError()
 {
     return {ErrorKind::IdempotencyKeyReused,
             Ran::No,
@@ -42,20 +42,20 @@
 }
 
 /// Headers of a plain service's answer that HTTP frames anew on the way back.
-bool isFraming(const QByteArray &name)
+bool isFramingHeader(const QByteArray &name)
 {
     const QByteArray lower = name.toLower();
     return lower == "content-length" || lower == "transfer-encoding" || lower == "connection"
         || lower == "keep-alive";
 }
 
-HttpResponse forwarded(const HttpResponse &answer)
+HttpResponse forwardedResponse(const HttpResponse &answer)
 {
     HttpResponse response;
     response.status = answer.status;
     response.body = answer.body;
     for (const HttpHeaders::Field &field : answer.headers.fields()) {
-        if (!isFraming(field.first))
+        if (!isFramingHeader(field.first))
             response.headers.add(field.first, field.second);
     }
     return response;
@@ -81,13 +81,13 @@
 
 int Gateway::pending() const
 {
-    const int attached = m_attached ? m_attached->running() : 0;
-    return m_runs.running() + attached + m_parsing + m_plainCalls;
+    const int attached = m_attachClient ? m_attachClient->running() : 0;
+    return m_runs.running() + attached + m_parsingRequests + m_plainCalls;
 }
 
 void Gateway::handle(const HttpRequest &request, const Responder &responder)
 {
-    if (handleOpenPath(request, responder))
+    if (handleUnauthenticatedPath(request, responder))
         return;
     if (m_operatorHandler && m_operatorHandler(request, responder))
         return;
@@ -99,9 +99,9 @@
     if (request.method == "GET" && request.path == "/v1/models") {
         listModels(workspace.value(), responder);
     } else if (request.method == "POST" && request.path == "/v1/completions") {
-        parseThenRun(request, workspace.value(), CompletionShape::Text, responder);
+        parseAndRun(request, workspace.value(), CompletionShape::Text, responder);
     } else if (request.method == "POST" && request.path == "/v1/chat/completions") {
-        parseThenRun(request, workspace.value(), CompletionShape::Chat, responder);
+        parseAndRun(request, workspace.value(), CompletionShape::Chat, responder);
     } else if (request.path.startsWith("/services/")) {
         const Result<PlainRequest> call =
             parsePlainCall(request, workspace.value(), m_configuration, arrivalNow());
@@ -121,7 +121,7 @@
     }
 }
 
-bool Gateway::handleOpenPath(const HttpRequest &request, const Responder &responder)
+bool Gateway::handleUnauthenticatedPath(const HttpRequest &request, const Responder &responder)
 {
     if (request.method != "GET")
         return false;
@@ -139,7 +139,7 @@
 
 Result<WorkspaceId> Gateway::admit(const HttpRequest &request) const
 {
-    if (m_refusing)
+    if (m_refusesNewRequests)
         return Error{ErrorKind::Draining,
                      Ran::No,
                      QStringLiteral("this daemon is shutting down; another one serves you"),
@@ -174,17 +174,17 @@
     return {m_delivery.timers.now(), QDateTime::currentMSecsSinceEpoch()};
 }
 
-void Gateway::parseThenRun(const HttpRequest &request, const WorkspaceId &workspace,
-                           CompletionShape shape, const Responder &responder)
+void Gateway::parseAndRun(const HttpRequest &request, const WorkspaceId &workspace,
+                          CompletionShape shape, const Responder &responder)
 {
-    ++m_parsing;
+    ++m_parsingRequests;
     m_workers.run(
         this,
         [request, shape, workspace, configuration = m_configuration, arrival = arrivalNow()] {
             return parseCompletion(request, shape, workspace, configuration, arrival);
         },
         [this, responder](const Result<CompletionRequest> &parsed) {
-            --m_parsing;
+            --m_parsingRequests;
             if (parsed)
                 run(parsed.value(), responder);
             else
@@ -202,26 +202,27 @@
          {"at_most_once", generation.atMostOnce ? QStringLiteral("yes") : QStringLiteral("no")}});
     const auto link = std::make_shared<CallerLink>();
     const std::shared_ptr<AnswerSink> sink = std::make_shared<CompletionAnswer>(
-        responder, request, m_delivery.timers, m_metrics, [this, link] { cutSlowReader(*link); });
+        responder, request, m_delivery.timers, m_metrics, [this, link] { abortSlowReader(*link); });
     link->sink = sink;
     responder->onCallerGone([this, link, id = generation.id] {
         logEvent(LogLevel::Info, EventId::CallerGone, {{"request", id.text()}});
         detach(*link);
     });
-    const auto earlier = generation.atMostOnce ? m_runs.findByClaim(generation.claimKey) : nullptr;
-    if (earlier) {
-        if (earlier->request().fingerprint != generation.fingerprint) {
-            sink->failed(keyReused());
+    const auto existingRun =
+        generation.atMostOnce ? m_runs.findByClaim(generation.claimKey) : nullptr;
+    if (existingRun) {
+        if (existingRun->request().fingerprint != generation.fingerprint) {
+            sink->failed(keyReusedError());
             return;
         }
         logEvent(LogLevel::Info, EventId::ClaimAttached, {{"request", generation.id.text()}});
-        link->run = earlier;
-        earlier->attach(sink);
+        link->run = existingRun;
+        existingRun->attach(sink);
         return;
     }
     link->run = m_runs.start(generation, sink, [this, request, link](const ClaimDecision &held) {
-        if (const auto waiting = link->sink.lock())
-            answerHeld(held, request, waiting);
+        if (const auto waitingSink = link->sink.lock())
+            answerFromClaimHolder(held, request, waitingSink);
     });
 }
 
@@ -230,13 +231,13 @@
     const auto sink = link.sink.lock();
     if (!sink)
         return;
-    if (m_attached)
-        m_attached->leave(sink.get());
+    if (m_attachClient)
+        m_attachClient->detach(sink.get());
     if (const auto run = link.run.lock())
         run->detach(sink.get());
 }
 
-void Gateway::cutSlowReader(const CallerLink &link)
+void Gateway::abortSlowReader(const CallerLink &link)
 {
     if (const auto sink = link.sink.lock())
         sink->failed({ErrorKind::ReaderTooSlow,
@@ -247,17 +248,17 @@
     detach(link);
 }
 
-void Gateway::answerHeld(const ClaimDecision &held, const CompletionRequest &request,
-                         const std::shared_ptr<AnswerSink> &sink)
+void Gateway::answerFromClaimHolder(const ClaimDecision &held, const CompletionRequest &request,
+                                    const std::shared_ptr<AnswerSink> &sink)
 {
-    if (held.heldFingerprint != request.generation.fingerprint) {
-        sink->failed(keyReused());
+    if (held.holderFingerprint != request.generation.fingerprint) {
+        sink->failed(keyReusedError());
         return;
     }
-    if (m_attached && held.holder != m_self) {
+    if (m_attachClient && held.holder != m_self) {
         logEvent(LogLevel::Info, EventId::ClaimAttached,
                  {{"request", request.generation.id.text()}, {"holder", held.holder.text()}});
-        m_attached->follow(held, request.generation, sink);
+        m_attachClient->follow(held, request.generation, sink);
         return;
     }
     sink->failed({ErrorKind::OutcomeUnknown,
@@ -275,8 +276,8 @@
                                       [this, responder, run](const Result<HttpResponse> &answer) {
                                           --m_plainCalls;
                                           if (answer) {
-                                              ++m_metrics.whole;
-                                              responder->send(forwarded(answer.value()));
+                                              ++m_metrics.completed;
+                                              responder->send(forwardedResponse(answer.value()));
                                           } else {
                                               refuse(answer.error(), responder);
                                           }
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -14,7 +14,7 @@
 namespace cranberry {
 
 class AnswerSink;
-class AttachedAnswers;
+class AttachClient;
 class GenerationRun;
 class HttpResponder;
 class RunRegistry;
@@ -50,13 +50,13 @@
 
     /// Requests whose key another daemon holds are answered through @p attached, which outlives
     /// the gateway.
-    void setAttached(AttachedAnswers *attached) { m_attached = attached; }
+    void setAttachClient(AttachClient *attached) { m_attachClient = attached; }
 
     /// /readyz says no from now on; requests are still served.
-    void announceDrain() { m_announcedDrain = true; }
+    void announceDrain() { m_isDrainAnnounced = true; }
     /// Requests from now on are refused with ErrorKind::Draining.
-    void refuseNew() { m_refusing = true; }
-    bool isReady() const { return m_configuration != nullptr && !m_announcedDrain; }
+    void refuseNewRequests() { m_refusesNewRequests = true; }
+    bool isReady() const { return m_configuration != nullptr && !m_isDrainAnnounced; }
     /// Requests that are not answered yet.
     int pending() const;
 
@@ -65,12 +65,12 @@
 private:
     using Responder = std::shared_ptr<HttpResponder>;
 
-    bool handleOpenPath(const HttpRequest &request, const Responder &responder);
+    bool handleUnauthenticatedPath(const HttpRequest &request, const Responder &responder);
     Result<WorkspaceId> admit(const HttpRequest &request) const;
     ArrivalTime arrivalNow() const;
     void listModels(const WorkspaceId &workspace, const Responder &responder);
-    void parseThenRun(const HttpRequest &request, const WorkspaceId &workspace,
-                      CompletionShape shape, const Responder &responder);
+    void parseAndRun(const HttpRequest &request, const WorkspaceId &workspace,
+                     CompletionShape shape, const Responder &responder);
     /// Which run answers which caller. Neither is kept alive by it: the run holds its sinks.
     struct CallerLink {
         std::weak_ptr<GenerationRun> run;
@@ -78,10 +78,10 @@
     };
 
     void detach(const CallerLink &link);
-    void cutSlowReader(const CallerLink &link);
+    void abortSlowReader(const CallerLink &link);
     void run(const CompletionRequest &request, const Responder &responder);
-    void answerHeld(const ClaimDecision &held, const CompletionRequest &request,
-                    const std::shared_ptr<AnswerSink> &sink);
+    void answerFromClaimHolder(const ClaimDecision &held, const CompletionRequest &request,
+                               const std::shared_ptr<AnswerSink> &sink);
     void callPlain(const PlainRequest &request, const Responder &responder);
     void refuse(const Error &error, const Responder &responder);
     QByteArray metricsText() const;
@@ -94,12 +94,12 @@
     std::shared_ptr<const WorkspaceKeys> m_keys;
     PathHandler m_operatorHandler;
     std::function<QByteArray()> m_metricsSource;
-    AttachedAnswers *m_attached = nullptr;
+    AttachClient *m_attachClient = nullptr;
     AnswerMetrics m_metrics;
-    int m_parsing = 0;
+    int m_parsingRequests = 0;
     int m_plainCalls = 0;
-    bool m_announcedDrain = false;
-    bool m_refusing = false;
+    bool m_isDrainAnnounced = false;
+    bool m_refusesNewRequests = false;
 };
 
 } // namespace cranberry
--- a/src/gateway/MetricsText.cpp
+++ b/src/gateway/MetricsText.cpp
@@ -18,7 +18,7 @@
 QByteArray metricsText(const AnswerMetrics &answers, const DeliveryCounters &delivery, int running)
 {
     QByteArray text = gaugeText("cranberry_runs", running);
-    text += counterText("cranberry_answers_whole_total", answers.whole);
+    text += counterText("cranberry_answers_whole_total", answers.completed);
     text += "# TYPE cranberry_answers_failed_total counter\n";
     for (std::size_t i = 0; i < ErrorKindCount; ++i) {
         text += "cranberry_answers_failed_total{kind=\""
@@ -31,8 +31,8 @@
     text += counterText("cranberry_retries_total", delivery.retries);
     text += counterText("cranberry_resumes_total", delivery.resumes);
     text += counterText("cranberry_generations_lost_total", delivery.generationsLost);
-    text += answers.firstToken.prometheusText("cranberry_first_token_seconds");
-    return text + answers.betweenTokens.prometheusText("cranberry_between_tokens_seconds");
+    text += answers.timeToFirstToken.prometheusText("cranberry_first_token_seconds");
+    return text + answers.interTokenLatency.prometheusText("cranberry_between_tokens_seconds");
 }
 
 } // namespace cranberry
--- a/src/gateway/OperatorApi.cpp
+++ b/src/gateway/OperatorApi.cpp
@@ -24,7 +24,7 @@
 const QByteArray StatusPath = "/v1/status";
 const QByteArray BearerScheme = "Bearer ";
 /// What a refused operator is shown of the changes that came in between.
-constexpr qsizetype LargestDifference = 256 * 1024;
+constexpr qsizetype MaxConflictChangesBytes = 256 * 1024;
 
 QByteArray tokenHash(const QByteArray &token)
 {
@@ -50,11 +50,11 @@
 
 Error error(ErrorKind kind, const QString &detail, const QString &field = {})
 {
-    Error made;
-    made.kind = kind;
-    made.detail = detail;
-    made.field = field;
-    return made;
+    Error result;
+    result.kind = kind;
+    result.detail = detail;
+    result.field = field;
+    return result;
 }
 
 Result<QJsonObject> parseDocument(const QByteArray &body)
@@ -80,7 +80,7 @@
 }
 
 /// The answer for @p error with @p extra members in its body.
-HttpResponse problemWith(const Error &error, const QJsonObject &extra)
+HttpResponse problemResponseWith(const Error &error, const QJsonObject &extra)
 {
     HttpResponse response = problemResponse(error);
     QJsonObject body = QJsonDocument::fromJson(response.body).object();
@@ -103,7 +103,7 @@
     const auto changes = store.changesAfter(version).value_or(QList<ConfigurationChange>());
     for (const ConfigurationChange &change : changes) {
         size += QJsonDocument(change.patch).toJson(QJsonDocument::Compact).size();
-        if (size > LargestDifference)
+        if (size > MaxConflictChangesBytes)
             return {};
         list.append(QJsonObject{{"version", change.version.value()},
                                 {"change_id", change.id.text()},
@@ -113,7 +113,7 @@
 }
 
 template <typename Part>
-auto partOf(const std::function<Part()> &source)
+auto valueOrDefault(const std::function<Part()> &source)
 {
     return source ? source() : Part();
 }
@@ -249,7 +249,8 @@
                 .arg(expected.value());
         QJsonObject extra = version;
         extra.insert(QStringLiteral("changes"), changesSince(m_store, expected));
-        HttpResponse response = problemWith(error(ErrorKind::VersionConflict, detail), extra);
+        HttpResponse response =
+            problemResponseWith(error(ErrorKind::VersionConflict, detail), extra);
         response.headers.add("ETag", etag(result.version));
         responder->send(response);
         return;
@@ -257,7 +258,7 @@
     case SubmitOutcome::Invalid: {
         const QString detail = result.faults.first().text();
         Error fault = error(ErrorKind::InvalidConfiguration, detail, result.faults.first().path);
-        responder->send(problemWith(fault, {{"faults", faultList(result.faults)}}));
+        responder->send(problemResponseWith(fault, {{"faults", faultList(result.faults)}}));
         return;
     }
     case SubmitOutcome::PlatformUnavailable:
@@ -271,7 +272,7 @@
             QStringLiteral("the platform's service stopped answering: the change may be accepted; "
                            "read the configuration once it answers again"));
         unsettled.ran = Ran::Maybe;
-        responder->send(problemWith(unsettled, {{"change_id", result.change.text()}}));
+        responder->send(problemResponseWith(unsettled, {{"change_id", result.change.text()}}));
         return;
     }
     }
@@ -298,17 +299,17 @@
 
 void OperatorApi::handleStatus(const Responder &responder)
 {
-    const auto inForce = m_store.current();
+    const auto configuration = m_store.current();
     const QJsonObject status{
         {"vm", m_self.text()},
-        {"ready", partOf(m_status.ready)},
+        {"ready", valueOrDefault(m_status.ready)},
         {"configuration_version",
-         inForce ? QJsonValue(inForce->version.value()) : QJsonValue(QJsonValue::Null)},
+         configuration ? QJsonValue(configuration->version.value()) : QJsonValue(QJsonValue::Null)},
         {"configuration_fault", m_store.fault()},
-        {"platform_reachable", partOf(m_status.platformReachable)},
-        {"members", partOf(m_status.members)},
-        {"targets", partOf(m_status.targets)},
-        {"quarantine", partOf(m_status.quarantine)},
+        {"platform_reachable", valueOrDefault(m_status.platformReachable)},
+        {"members", valueOrDefault(m_status.members)},
+        {"targets", valueOrDefault(m_status.targets)},
+        {"quarantine", valueOrDefault(m_status.quarantine)},
     };
     responder->send(objectResponse(status));
 }
--- a/src/gateway/PlainCall.cpp
+++ b/src/gateway/PlainCall.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-const QByteArray Prefix = "/services/";
+const QByteArray ServicePathPrefix = "/services/";
 
 /// Headers that belong to one connection, or that say who the caller is.
 const QSet<QByteArray> HeadersNotForwarded = {
@@ -67,7 +67,7 @@
                                     const ArrivalTime &arrival)
 {
     BOOST_OUTCOME_TRY(headers, parseCallerHeaders(request));
-    const QByteArray rest = request.path.mid(Prefix.size());
+    const QByteArray rest = request.path.mid(ServicePathPrefix.size());
     const qsizetype slash = rest.indexOf('/');
     const QByteArray name = slash < 0 ? rest : rest.left(slash);
     const ServiceId id(QUrl::fromPercentEncoding(name));
@@ -89,7 +89,7 @@
     const bool byDefault = service->atMostOnce && !isIdempotentMethod(request.method);
     result.atMostOnce = headers.atMostOnce.value_or(byDefault);
     if (result.atMostOnce) {
-        BOOST_OUTCOME_TRY(checkOnceKey(headers.idempotencyKey, arrival));
+        BOOST_OUTCOME_TRY(checkAtMostOnceKey(headers.idempotencyKey, arrival));
     }
     result.claimKey = claimKeyOf(workspace, headers.idempotencyKey);
     result.fingerprint = fingerprintOf(result.upstream);
--- a/src/gateway/WorkspaceKeys.cpp
+++ b/src/gateway/WorkspaceKeys.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const QByteArray Scheme = "Bearer ";
+const QByteArray BearerScheme = "Bearer ";
 
 Error unauthorized(const QString &detail)
 {
@@ -30,12 +30,13 @@
 Result<WorkspaceId> WorkspaceKeys::authenticate(const HttpRequest &request) const
 {
     const QByteArray header = request.headers.value("Authorization");
-    if (!header.startsWith(Scheme))
+    if (!header.startsWith(BearerScheme))
         return unauthorized(
             QStringLiteral("send the workspace's key as \"Authorization: Bearer KEY\""));
     // Only the hash is compared, so the time taken says nothing about a key.
     const QByteArray hash =
-        QCryptographicHash::hash(header.mid(Scheme.size()), QCryptographicHash::Sha256).toHex();
+        QCryptographicHash::hash(header.mid(BearerScheme.size()), QCryptographicHash::Sha256)
+            .toHex();
     const auto found = m_byHash.constFind(hash);
     if (found == m_byHash.constEnd())
         return unauthorized(QStringLiteral("the key is not one of any workspace"));
--- a/src/relay/RelayAttempt.h
+++ b/src/relay/RelayAttempt.h
@@ -35,7 +35,7 @@
                  const AttemptPlan &plan, Milliseconds reuseIdle, RelayAttemptCallbacks callbacks);
 
     /// Bytes of a stream that came behind the last whole event.
-    QByteArray unfinishedEvent() const { return m_events.rest(); }
+    QByteArray unfinishedEvent() const { return m_events.unparsedBytes(); }
 
 private:
     void headersCame(int status, const HttpHeaders &headers);
@@ -50,7 +50,7 @@
     bool m_hasHead = false;
     bool m_isStream = false;
     QByteArray m_body;
-    ServerSentEvents m_events;
+    ServerSentEventParser m_events;
     /// Tells a callback's caller that the attempt is gone.
     std::shared_ptr<bool> m_alive;
     std::unique_ptr<HttpExchange> m_exchange;
--- a/test/correctness/EventStream.cpp
+++ b/test/correctness/EventStream.cpp
@@ -12,7 +12,7 @@
     const QByteArray text = "id: 0\ndata: {\"a\":1}\n\nid: 1\r\nevent: error\r\ndata: x\r\n\r\n: "
                             "note\n\ndata: [DONE]\n\n";
     for (qsizetype cut = 0; cut <= text.size(); ++cut) {
-        ServerSentEvents events;
+        ServerSentEventParser events;
         QList<ServerSentEvent> got = events.feed(text.left(cut));
         got += events.feed(text.mid(cut));
         BOOST_REQUIRE_EQUAL(got.size(), 3);
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_CASE(EndlessEventIsMalformed)
 {
-    ServerSentEvents events;
+    ServerSentEventParser events;
     for (int i = 0; i < 40 && !events.isMalformed(); ++i)
         events.feed("data: " + QByteArray(64 * 1024, 'x'));
     BOOST_TEST(events.isMalformed());
--- a/test/correctness/RequestClaim.cpp
+++ b/test/correctness/RequestClaim.cpp
@@ -13,7 +13,7 @@
 const AttemptId Attempt(QStringLiteral("attempt"));
 
 /// Keeps the one claim until the test decides it.
-class HeldBackGate final : public ClaimGate
+class HeldBackGate final : public ClaimService
 {
 public:
     void claim(const QByteArray &, const QByteArray &, const AttemptId &,
@@ -44,7 +44,7 @@
     Fixture()
     {
         claim.emplace(gate, "key", "fingerprint");
-        claim->take(Attempt, [this](const Result<ClaimDecision> &) { ++told; });
+        claim->acquire(Attempt, [this](const Result<ClaimDecision> &) { ++told; });
     }
 
     HeldBackGate gate;
--- a/test/error/OldKeys.cpp
+++ b/test/error/OldKeys.cpp
@@ -20,7 +20,7 @@
 {
     // A client wakes after two days and sends its alert again with the key it had. The claim is
     // forgotten by then, so the alert would go out a second time.
-    const Result<void> checked = checkOnceKey(NewYearKey, {{}, NewYearMs + 48 * HourMs});
+    const Result<void> checked = checkAtMostOnceKey(NewYearKey, {{}, NewYearMs + 48 * HourMs});
     BOOST_REQUIRE(!checked);
     BOOST_CHECK(checked.error().kind == ErrorKind::BadHeader);
     BOOST_CHECK(checked.error().ran == Ran::No);
@@ -29,6 +29,6 @@
 
 BOOST_AUTO_TEST_CASE(KeysOfTodayAndKeysWithoutATimePass)
 {
-    BOOST_TEST(bool(checkOnceKey(NewYearKey, {{}, NewYearMs + HourMs})));
-    BOOST_TEST(bool(checkOnceKey("order-17", {{}, NewYearMs})));
+    BOOST_TEST(bool(checkAtMostOnceKey(NewYearKey, {{}, NewYearMs + HourMs})));
+    BOOST_TEST(bool(checkAtMostOnceKey("order-17", {{}, NewYearMs})));
 }
--- a/test/failure/AttachMessagesLost.cpp
+++ b/test/failure/AttachMessagesLost.cpp
@@ -74,7 +74,7 @@
         ClaimDecision held;
         held.kind = ClaimDecision::Kind::Held;
         held.holder = Holder;
-        held.heldAttempt = AttemptId(QStringLiteral("claimed"));
+        held.holderAttempt = AttemptId(QStringLiteral("claimed"));
         attached.follow(held, request, sink);
         BOOST_REQUIRE(peers.asks.size() == 1);
     }
@@ -86,13 +86,13 @@
         message.from = from;
         message.state = state;
         for (qint64 i = from; i < until; ++i)
-            message.events.append({i, eventData(state == State::Whole && i + 1 == until)});
+            message.events.append({i, eventData(state == State::Complete && i + 1 == until)});
         return message;
     }
 
     ManualTimers timers;
     ScriptedPeers peers;
-    AttachedAnswers attached{peers, timers};
+    AttachClient attached{peers, timers};
     GenerationRequest request;
     std::shared_ptr<RecordingSink> sink = std::make_shared<RecordingSink>();
 };
@@ -111,7 +111,7 @@
     peers.answer(Holder, data(0, 2, State::Running));
     BOOST_TEST(peers.asks.size() == 3);
     BOOST_TEST(peers.asks.last().from == 2);
-    peers.answer(Holder, data(2, 4, State::Whole));
+    peers.answer(Holder, data(2, 4, State::Complete));
     BOOST_TEST(sink->isWhole);
     BOOST_TEST(sink->indexes == FirstFour, boost::test_tools::per_element());
     BOOST_TEST(peers.done.size() == 1);
@@ -123,7 +123,7 @@
     timers.advance(LongerThanAnAsk);
     BOOST_REQUIRE(peers.asks.size() == 3);
     BOOST_TEST(peers.asks.last().from == 2);
-    peers.answer(Holder, data(2, 4, State::Whole));
+    peers.answer(Holder, data(2, 4, State::Complete));
     BOOST_TEST(sink->isWhole);
     BOOST_TEST(sink->indexes == FirstFour, boost::test_tools::per_element());
 }
--- a/test/failure/ClaimsThroughOutages.cpp
+++ b/test/failure/ClaimsThroughOutages.cpp
@@ -95,8 +95,8 @@
     BOOST_REQUIRE(other);
     BOOST_CHECK(other.value().kind == ClaimDecision::Kind::Held);
     BOOST_CHECK(other.value().holder == VmId("vm1"));
-    BOOST_CHECK(other.value().heldAttempt == AttemptId("a1"));
-    BOOST_CHECK(other.value().heldFingerprint == "fingerprint");
+    BOOST_CHECK(other.value().holderAttempt == AttemptId("a1"));
+    BOOST_CHECK(other.value().holderFingerprint == "fingerprint");
 }
 
 BOOST_FIXTURE_TEST_CASE(ServiceThatIsDownMeansARefusalThatDidNotRun, Fixture)
--- a/test/failure/ResumeNeverConnects.cpp
+++ b/test/failure/ResumeNeverConnects.cpp
@@ -92,9 +92,9 @@
     void acquire(const TargetDemand &, Callback callback) override
     {
         ++acquired;
-        callback(TargetPlace{TargetId(QStringLiteral("engine")),
-                             {QStringLiteral("127.0.0.1"), m_port},
-                             Incarnation(1)});
+        callback(TargetAssignment{TargetId(QStringLiteral("engine")),
+                                  {QStringLiteral("127.0.0.1"), m_port},
+                                  Incarnation(1)});
     }
     void withdraw(const RequestId &) override { }
     void tokenReceived(const AttemptId &) override { }
@@ -108,7 +108,7 @@
     const quint16 m_port;
 };
 
-class AllClaims final : public ClaimGate
+class AllClaims final : public ClaimService
 {
 public:
     void claim(const QByteArray &, const QByteArray &, const AttemptId &,
@@ -145,7 +145,7 @@
 
     void checkOutcomeUnknown(const GenerationRun &run)
     {
-        BOOST_REQUIRE(waitFor([&] { return run.isOver() || targets.acquired > 1; }));
+        BOOST_REQUIRE(waitFor([&] { return run.hasEnded() || targets.acquired > 1; }));
         BOOST_TEST(targets.acquired == 1);
         BOOST_REQUIRE(run.failure().has_value());
         BOOST_CHECK(run.failure()->kind == ErrorKind::TargetFailed);
