--- a/src/delivery/AnswerSink.h
+++ b/src/delivery/AnswerSink.h
@@ -1,4 +1,3 @@
-// Defines AnswerSink, the receiver of one generation's answer.
 #pragma once
 
 namespace cranberry {
@@ -6,7 +5,7 @@
 struct Error;
 struct TokenEvent;
 
-/// Receives an answer from its first event to its end.
+/// Receives the answer of one generation from its first event to its end.
 /// Thread safety: called in the thread of the run.
 class AnswerSink
 {
@@ -16,11 +15,11 @@
     AnswerSink(const AnswerSink &) = delete;
     AnswerSink &operator=(const AnswerSink &) = delete;
 
-    /// The next event of the answer, each once and in order.
+    /// Receives the next event of the answer. Each event is delivered once and in order.
     virtual void deliver(const TokenEvent &event) = 0;
-    /// The answer is whole. Called at most once, last.
+    /// The answer is complete. Called at most once, as the last call.
     virtual void finished() = 0;
-    /// The answer cannot be completed. Called at most once, last.
+    /// The answer cannot be completed. Called at most once, as the last call.
     virtual void failed(const Error &error) = 0;
 };
 
--- a/src/delivery/AttachHolder.cpp
+++ b/src/delivery/AttachHolder.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-/// Events of one message; a frame holds several times as much.
+/// Event data per message after which no further event is added. A peer frame holds several
+/// times as much.
 constexpr qsizetype MaxMessageBytes = 128 * 1024;
-/// A larger event cannot be sent within the bound of a frame.
+/// A larger event does not fit into a peer frame with the rest of its message.
 constexpr qsizetype MaxEventBytes = 512 * 1024;
 constexpr Milliseconds SweepInterval{100};
-/// An ask is answered after this time even if nothing has come, to show that the holder lives.
+/// A request is answered after this time even without events, to show that the daemon is alive.
 constexpr Milliseconds MaxReplyDelay{300};
-/// A follower that has not asked for so long is gone.
+/// A follower that sends no request for this time counts as gone.
 constexpr Milliseconds FollowerTimeout{4000};
 
-/// Tells that the run has something new; the events are read from the run.
+/// Signals that the run has progressed. The events themselves are read from the run.
 class NotifySink final : public AnswerSink
 {
 public:
@@ -74,7 +75,7 @@
     VmId follower;
     std::shared_ptr<GenerationRun> run;
     std::shared_ptr<AnswerSink> sink;
-    /// The number of the ask that is not answered yet.
+    /// First event index of the request that is not answered yet.
     std::optional<qint64> pendingFrom;
     MonotonicTime lastRequestTime;
 };
--- a/src/delivery/AttachHolder.h
+++ b/src/delivery/AttachHolder.h
@@ -1,4 +1,3 @@
-// Defines AttachServer, which lets other daemons follow the at-most-once runs of this one.
 #pragma once
 
 #include "base/Ids.h"
@@ -16,20 +15,23 @@
 class TimerSubscription;
 struct AttachRequestMessage;
 
-/// Each message asks for events from a number on and is answered once: as soon as there are
-/// any, or with none after a while. So the follower sets the pace, what is on the way stays
-/// bounded, and a lost message is made good by asking again.
-/// Thread safety: only from the thread of the event loop.
+/// Streams the events of this daemon's at-most-once runs to followers, which are other daemons
+/// whose callers repeat the key of such a run. A follower polls: each request names the index of
+/// the first event it needs and is answered once, as soon as that event exists or without events
+/// after a timeout. The follower thereby controls the flow, the data in flight is bounded, and a
+/// lost message is recovered by repeating the request.
+/// Thread safety: only from the event loop thread.
 class AttachServer
 {
 public:
-    /// Preconditions: all outlive the holder; nobody else subscribes to AttachRequest.
+    /// Preconditions: all references outlive the server; nothing else subscribes to
+    /// AttachRequest.
     AttachServer(PeerNetwork &peers, TimerService &timers, RunRegistry &runs);
     ~AttachServer();
     AttachServer(const AttachServer &) = delete;
     AttachServer &operator=(const AttachServer &) = delete;
 
-    /// Followers that have not got everything yet, as far as is known.
+    /// Number of followers that have not reported the end of their session and not timed out.
     int followers() const { return int(m_sessions.size()); }
 
 private:
--- a/src/delivery/AttachMessages.h
+++ b/src/delivery/AttachMessages.h
@@ -1,4 +1,3 @@
-// Defines the messages by which a daemon follows a generation that another one runs.
 #pragma once
 
 #include "base/Error.h"
@@ -12,33 +11,37 @@
 
 namespace cranberry {
 
-/// Asks for the events from a number on, or says that no more are wanted.
+/// Sent by a daemon that follows a generation of another daemon: requests the events from index
+/// `from` on, or ends the session.
 struct AttachRequestMessage {
-    /// The request that follows; its id names the session.
+    /// Id of the following caller's request, which identifies the session.
     RequestId session;
     QByteArray claimKey;
-    /// The send that the claim allowed: tells a holder that was started anew from the one before.
+    /// The attempt that the claim was granted to. It distinguishes a claim holder that has
+    /// restarted from the one before the restart.
     AttemptId claimAttempt;
+    /// Index of the first event that is requested.
     qint64 from = 0;
+    /// No more events are needed; the session ends.
     bool done = false;
 };
 
-/// What is known of the generation from the number that was asked for on.
+/// The answer to an AttachRequestMessage: events from the requested index on.
 struct AttachDataMessage {
     enum class State {
-        /// More will come, or more is there than one message carries.
+        /// More events will follow, or exist but did not fit into this message.
         Running = 1,
         /// These events are the last.
         Complete = 2,
-        /// These events are the last; then it failed.
+        /// These events are the last; the generation failed after them.
         Failed = 3,
-        /// The holder has no such generation.
+        /// The claim holder does not have the generation, or an event is too large to be sent.
         Unknown = 4,
     };
 
     struct Event {
         qint64 index = 0;
-        /// The JSON object as the target wrote it.
+        /// The JSON object exactly as the target sent it.
         QByteArray data;
     };
 
@@ -46,7 +49,7 @@
     qint64 from = 0;
     State state = State::Running;
     QList<Event> events;
-    /// Set if Failed.
+    /// Set if the state is Failed.
     std::optional<Error> error;
 };
 
--- a/src/delivery/AttachedAnswers.cpp
+++ b/src/delivery/AttachedAnswers.cpp
@@ -15,9 +15,10 @@
 
 namespace {
 
-/// The holder answers within half of this even if it has nothing; else a message was lost.
+/// The claim holder answers within half of this time even without events. After this time the
+/// request or the reply counts as lost.
 constexpr Milliseconds ReplyTimeout{700};
-/// Asks in a row without an answer after which the holder counts as gone.
+/// Consecutive requests without a reply after which the claim holder counts as gone.
 constexpr int MaxUnansweredRequests = 3;
 
 } // namespace
@@ -65,7 +66,7 @@
             fail(id,
                  {ErrorKind::DeadlineExceeded,
                   began ? Ran::Yes : Ran::Maybe,
-                  QStringLiteral("the answer was not complete by the deadline"),
+                  QStringLiteral("the deadline passed before the answer was complete"),
                   {},
                   {}});
         });
@@ -78,7 +79,7 @@
 {
     answer.nextRequest.from = answer.sequence.next;
     answer.isAwaitingReply = true;
-    // A message that cannot be sent now is as good as lost: the timer asks again.
+    // A message that cannot be sent is treated like a lost one: the timer repeats the request.
     m_peers.send(answer.holder, PeerMessageKind::AttachRequest, toCbor(answer.nextRequest));
     answer.replyTimer = m_timers.after(
         ReplyTimeout, [this, id = answer.nextRequest.session] { requestTimedOut(id); });
@@ -100,7 +101,8 @@
     if (found == m_answers.end() || found->second->holder != from)
         return;
     RemoteAnswer &answer = *found->second;
-    // An ask that was repeated may be answered twice. Taking both would ask twice from then on.
+    // A repeated request may be answered twice. Accepting both replies would double the requests
+    // from then on.
     if (!answer.isAwaitingReply || message.from != answer.nextRequest.from)
         return;
     answer.isAwaitingReply = false;
@@ -156,7 +158,7 @@
     fail(session,
          {began ? ErrorKind::GenerationLost : ErrorKind::OutcomeUnknown,
           began ? Ran::Yes : Ran::Maybe,
-          QStringLiteral("an earlier request holds this key and its answer is not at hand"),
+          QStringLiteral("an earlier request used this key and its answer is not available"),
           {},
           {}});
 }
--- a/src/delivery/AttachedAnswers.h
+++ b/src/delivery/AttachedAnswers.h
@@ -1,4 +1,3 @@
-// Defines AttachClient, the answers that this daemon's callers get from another one's runs.
 #pragma once
 
 #include "base/Ids.h"
@@ -18,25 +17,26 @@
 struct Error;
 struct GenerationRequest;
 
-/// Follows the run that holds a key, from its first event on, and hands its events on, each
-/// once and in order. If the holder is gone or does not know the run, what became of the
-/// request is unknown and its caller is told so.
-/// Thread safety: only from the thread of the event loop.
+/// Answers callers of this daemon from runs of other daemons. Follows the run that holds a claim
+/// key from its first event on and delivers each event once and in order. If the claim holder is
+/// unreachable or does not have the run, the outcome of the request is unknown and the caller
+/// receives an error that says so.
+/// Thread safety: only from the event loop thread.
 class AttachClient
 {
 public:
-    /// Preconditions: all outlive the object; nobody else subscribes to AttachData.
+    /// Preconditions: all references outlive the object; nothing else subscribes to AttachData.
     AttachClient(PeerNetwork &peers, TimerService &timers);
     ~AttachClient();
     AttachClient(const AttachClient &) = delete;
     AttachClient &operator=(const AttachClient &) = delete;
 
-    /// Answers @p request to @p sink with the run that @p held names.
+    /// Delivers the run that @p held names to @p sink, as the answer to @p request.
     void follow(const ClaimDecision &held, const GenerationRequest &request,
                 const std::shared_ptr<AnswerSink> &sink);
-    /// The caller behind @p sink has gone. Ignored if unknown.
+    /// Ends the session of @p sink after its caller has disconnected. Ignored if unknown.
     void detach(const AnswerSink *sink);
-    /// Answers that are not complete.
+    /// Number of answers that are not complete.
     int running() const { return int(m_answers.size()); }
 
 private:
@@ -45,7 +45,7 @@
     void requestEvents(RemoteAnswer &answer);
     void requestTimedOut(const RequestId &session);
     void dataReceived(const VmId &from, const AttachDataMessage &message);
-    /// False if the caller has gone meanwhile.
+    /// Returns false if the session has ended meanwhile.
     bool deliver(const AttachDataMessage &message);
     void continueOrFinish(const AttachDataMessage &message);
     void holderLost(const RequestId &session);
--- a/src/delivery/ClaimGate.h
+++ b/src/delivery/ClaimGate.h
@@ -1,4 +1,3 @@
-// Defines ClaimService, where delivery asks whether an at-most-once request may be sent.
 #pragma once
 
 #include "base/Ids.h"
@@ -8,24 +7,25 @@
 
 namespace cranberry {
 
-/// What became of a claim.
+/// The result of claiming a key.
 struct ClaimDecision {
     enum class Kind {
-        /// The claim stands for this attempt: it may be sent.
+        /// The claim is granted to this attempt, which may be sent.
         Won,
         /// An earlier request holds the key.
         Held,
     };
 
     Kind kind = Kind::Won;
-    /// If Held: who holds it and for which request.
+    /// If Held: the VM that holds the key, and the attempt and request it is held for.
     VmId holder;
     AttemptId holderAttempt;
     QByteArray holderFingerprint;
 };
 
-/// Claims as delivery sees them. Safety rests on the compare-and-swap behind it.
-/// Thread safety: only from the thread of the event loop.
+/// Decides whether an at-most-once request may be sent: only one request at a time can hold a
+/// claim key. Implementations ensure that by a compare-and-swap in the store.
+/// Thread safety: only from the event loop thread.
 class ClaimService
 {
 public:
@@ -36,13 +36,13 @@
     ClaimService(const ClaimService &) = delete;
     ClaimService &operator=(const ClaimService &) = delete;
 
-    /// Claims @p claimKey for @p attempt. Calls back once. After an error the request must
-    /// not be sent under this attempt id, ever.
+    /// Claims @p claimKey for @p attempt and calls back once. After an error the request must
+    /// never be sent under this attempt id.
     virtual void claim(const QByteArray &claimKey, const QByteArray &fingerprint,
                        const AttemptId &attempt, Callback callback) = 0;
 
-    /// Gives the claim back. Precondition: no send under it ran, by the target's own answer
-    /// or because no byte left.
+    /// Releases the claim. Precondition: no send under it ran, either because the target said so
+    /// or because no byte of a request was sent.
     virtual void release(const QByteArray &claimKey, const AttemptId &attempt) = 0;
 };
 
--- a/src/delivery/DeliveryContext.h
+++ b/src/delivery/DeliveryContext.h
@@ -1,4 +1,3 @@
-// Defines DeliveryContext, the collaborators that every run shares.
 #pragma once
 
 #include "delivery/StallThreshold.h"
@@ -11,7 +10,7 @@
 class TargetSource;
 class TimerService;
 
-/// Counts of what delivery met, for the metrics. Only grow.
+/// Monotonic event counters of delivery, for the metrics.
 struct DeliveryCounters {
     qint64 tokensDelivered = 0;
     qint64 tokensDropped = 0;
@@ -21,7 +20,8 @@
     qint64 generationsLost = 0;
 };
 
-/// All references outlive every run.
+/// The services, limits and statistics that all runs share.
+/// Precondition: the referenced objects outlive every run.
 struct DeliveryContext {
     HttpClient &client;
     TimerService &timers;
--- a/src/delivery/GenerationRequest.h
+++ b/src/delivery/GenerationRequest.h
@@ -1,4 +1,3 @@
-// Defines GenerationRequest, one caller's request for a generation as delivery runs it.
 #pragma once
 
 #include "base/Ids.h"
@@ -13,30 +12,32 @@
 
 struct Configuration;
 
+/// A caller's request for a generation, parsed and checked.
 struct GenerationRequest {
     RequestId id;
     WorkspaceId workspace;
     ServiceId service;
     ModelId model;
-    /// The configuration it was admitted under and keeps to its end.
+    /// The configuration that the request was admitted under; used until the request ends.
     std::shared_ptr<const Configuration> configuration;
-    /// Path at the target: completions or chat completions.
+    /// Path of the request at the target: completions or chat completions.
     QByteArray path;
-    /// JSON body for the target.
+    /// JSON body of the request to the target.
     QByteArray body;
     Tokens promptTokens;
     Tokens maxTokens;
     int priority = 0;
-    /// Hash of workspace and service: engines share cached prefixes only under one salt.
+    /// Hash of workspace and service. Engines share cached prefixes only between requests with
+    /// the same salt.
     QByteArray cacheSalt;
     quint64 prefixHash = 0;
     MonotonicTime deadline;
     bool atMostOnce = false;
-    /// SHA-256 of workspace and idempotency key; empty if the caller gave none.
+    /// SHA-256 of workspace and idempotency key; empty if the caller sent no key.
     QByteArray claimKey;
-    /// SHA-256 of the parts of the request that make it the same request.
+    /// SHA-256 of the parts that have to match for a repeated key to name the same request.
     QByteArray fingerprint;
-    /// By which a request that crashes targets is known again.
+    /// Identifies a repeated request that crashes targets.
     RequestFingerprint crashFingerprint;
 };
 
--- a/src/delivery/GenerationRun.cpp
+++ b/src/delivery/GenerationRun.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Resumes in a row beside a silent stream that are not even begun to be answered.
+/// Consecutive parallel resumes without a response after which the target is given up.
 constexpr int MaxUnansweredResumes = 4;
 
 AttemptId newAttemptId()
@@ -77,7 +77,7 @@
     cancelAtTarget();
     fail({ErrorKind::GenerationLost,
           ranSoFar(),
-          QStringLiteral("cancelled: the caller left"),
+          QStringLiteral("cancelled: the caller disconnected"),
           {},
           {}});
 }
@@ -212,13 +212,14 @@
         ++m_context.counters.tokensDropped;
         logEvent(LogLevel::Debug, EventId::StreamDropped,
                  {{"request", m_request.id.text()}, {"index", QString::number(event.index)}});
-        // Nothing after a gap can be delivered from this stream; a resume brings the rest.
+        // No event after a gap can be delivered from this stream; a resume fetches the missing
+        // ones.
         if (verdict == TokenVerdict::Gap && !isParallelResume(stream))
             openParallelResume();
         return;
     }
-    // A stalled link may come back to life beside its resume: the first of the two to bring
-    // the next event goes on, and the other is dropped.
+    // A stalled connection may recover while its resume is open. The stream that first delivers
+    // the next event is kept and the other one is closed.
     if (isParallelResume(stream))
         m_stream = std::move(m_parallelResume);
     m_parallelResume = {};
@@ -262,9 +263,10 @@
 
 void GenerationRun::openParallelResume()
 {
-    // A link can stall without closing: neither side sees an error and the caller waits for
-    // ever. A resume on a fresh connection beside it brings what the target has generated. Its
-    // link may stall as well, so a resume that stays silent gives way to another.
+    // A connection can stall without being closed: neither side sees an error and the caller
+    // would wait until its deadline. A resume on a new connection fetches the events that the
+    // target has generated. That connection may stall too, so a silent resume is replaced by
+    // another one.
     if (m_hasEnded || m_target.isEmpty())
         return;
     if (m_unansweredResumes >= MaxUnansweredResumes) {
@@ -289,7 +291,7 @@
     cancelAtTarget();
     fail({ErrorKind::DeadlineExceeded,
           ranSoFar(),
-          QStringLiteral("the answer was not complete by the deadline"),
+          QStringLiteral("the deadline passed before the answer was complete"),
           {},
           {}});
 }
@@ -335,8 +337,8 @@
 void GenerationRun::fail(Error error)
 {
     endAttempt(AttemptOutcome::Cancelled);
-    // An idempotent request may be refused after an earlier attempt of it has run: "no" would
-    // then be false of the request as a whole.
+    // An idempotent request may be refused after an earlier attempt has run. Ran::No would then
+    // be wrong for the request as a whole.
     error.ran = std::max(error.ran, m_ranInEarlierAttempts);
     m_failure = error;
     if (error.ran == Ran::No)
--- a/src/delivery/GenerationRun.h
+++ b/src/delivery/GenerationRun.h
@@ -1,4 +1,3 @@
-// Defines GenerationRun, which carries one request for a generation to its end.
 #pragma once
 
 #include "base/Error.h"
@@ -26,15 +25,17 @@
 struct ClaimDecision;
 struct DeliveryContext;
 
-/// Finds a target, claims if the request runs at most once, sends, resumes, retries where
-/// that is safe, and hands the one chosen generation to its sinks.
-/// Thread safety: only from the thread of the event loop.
+/// Runs one generation request to its end: acquires a target, acquires a claim if the request
+/// runs at most once, sends the request, resumes a broken stream, retries on another target
+/// where that is safe, and delivers the events of exactly one generation to its sinks. What
+/// follows after a failed send or resume is implemented in GenerationRunFailures.cpp.
+/// Thread safety: only from the event loop thread.
 class GenerationRun : public std::enable_shared_from_this<GenerationRun>
 {
 public:
-    /// Told once when nothing further will happen in this run.
+    /// Called once, when the run has ended.
     using EndedCallback = std::function<void(GenerationRun &run)>;
-    /// Told if another request holds the key, in place of an answer; the run is then over.
+    /// Called instead of the sinks if another request holds the claim key; the run then ends.
     using ClaimHeldCallback = std::function<void(const ClaimDecision &holder)>;
 
     /// Precondition: @p context outlives the run.
@@ -44,31 +45,32 @@
     GenerationRun(const GenerationRun &) = delete;
     GenerationRun &operator=(const GenerationRun &) = delete;
 
-    /// Begins. Precondition: called once.
+    /// Starts the run. Precondition: called once.
     void start();
 
-    /// Adds a receiver. Events so far are replayed to it if the run keeps them, which it does
-    /// for at-most-once requests. Precondition: the run keeps events or has delivered none.
+    /// Adds a receiver and replays the buffered events to it. Only at-most-once runs buffer
+    /// their events. Precondition: the run buffers events or has delivered none.
     void attach(const std::shared_ptr<AnswerSink> &sink);
 
-    /// The caller behind @p sink has gone. An idempotent run without sinks is cancelled; one
-    /// that runs at most once goes on, so that a further request can attach to it.
+    /// Removes @p sink after its caller has disconnected. An idempotent run without sinks is
+    /// cancelled. An at-most-once run continues, so that a later request with the same key can
+    /// attach to it.
     void detach(const AnswerSink *sink);
 
     /// Cancels the run if it has no sinks.
     void cancelIfAbandoned();
 
     const GenerationRequest &request() const { return m_request; }
-    /// Events so far, if the run keeps them; event i stands at place i.
+    /// The events delivered so far, if the run buffers them; event i is at position i.
     const QList<TokenEvent> &events() const { return m_events; }
-    /// The attempt under which it claimed; empty before.
+    /// The attempt that the claim was acquired for; empty before that.
     const AttemptId &claimAttempt() const { return m_claim.attempt(); }
     bool hasEnded() const { return m_hasEnded; }
-    /// Every event up to the last was received.
+    /// Whether every event, including the last one, was received.
     bool isComplete() const { return m_sequence.complete; }
     bool hasSinks() const { return !m_sinks.isEmpty(); }
     qint64 bufferedBytes() const { return m_bufferedBytes; }
-    /// How it failed, once it is over and did.
+    /// The error that the run ended with; empty while it runs and after a complete answer.
     const std::optional<Error> &failure() const { return m_failure; }
 
 private:
@@ -77,10 +79,10 @@
     void claimAndSend();
     void claimDecided(const Result<ClaimDecision> &decision);
     void send();
-    /// A stream with a number, so that a callback can tell which of two streams it is for.
+    /// A stream with a number by which a callback identifies the stream it belongs to.
     struct NumberedStream {
         quint64 number = 0;
-        /// It asks for what a send before it has started.
+        /// The stream resumes a generation that an earlier send has started.
         bool isResume = false;
         std::unique_ptr<TargetStream> stream;
     };
@@ -130,7 +132,7 @@
     TokenSequence m_sequence;
     quint64 m_streamCount = 0;
     NumberedStream m_stream;
-    /// A resume opened while the stream is silent but not closed.
+    /// A resume that was opened while m_stream is silent but not closed.
     NumberedStream m_parallelResume;
     std::unique_ptr<TimerSubscription> m_stallTimer;
     std::unique_ptr<TimerSubscription> m_deadlineTimer;
@@ -140,12 +142,12 @@
     int m_unansweredResumes = 0;
     bool m_isAcquiring = false;
     bool m_isRetry = false;
-    /// The target of the present attempt refuses connections.
+    /// Connecting to the target of the current attempt failed and the target answered no cancel.
     bool m_isTargetUnreachable = false;
     bool m_sent = false;
     bool m_answerBegan = false;
     bool m_hasEnded = false;
-    /// What earlier attempts of this request left behind; the last answer may not say less.
+    /// The highest Ran of the earlier attempts of this request. An error must not report less.
     Ran m_ranInEarlierAttempts = Ran::No;
     std::optional<Error> m_failure;
 };
--- a/src/delivery/GenerationRunFailures.cpp
+++ b/src/delivery/GenerationRunFailures.cpp
@@ -1,4 +1,3 @@
-// What a GenerationRun does when a send or a resume has failed.
 #include "base/EventLog.h"
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
@@ -11,12 +10,12 @@
 
 namespace {
 
-/// Resumes in a row that bring no event before the generation counts as lost.
+/// Consecutive resumes without an event after which the generation counts as lost.
 constexpr int MaxResumesWithoutEvent = 4;
 constexpr Milliseconds ResumeBackoffStep{150};
 constexpr int StatusNotFound = 404;
 
-/// Whether a target's answer @p status blames the request and not the target.
+/// Whether @p status reports a fault of the request, which every target would report.
 bool isInvalidRequestStatus(int status)
 {
     constexpr int BadRequest = 400;
@@ -45,7 +44,8 @@
     m_stream = {};
     m_stallTimer.reset();
     if (status == StatusNotFound && m_sequence.next > 0) {
-        giveUp(SendFailure::BrokenAfterStart, QStringLiteral("the target forgot the generation"));
+        giveUp(SendFailure::BrokenAfterStart,
+               QStringLiteral("the target no longer has the generation"));
         return;
     }
     handleSendFailure(failure.value_or(SendFailure::BrokenAfterStart), status, isResume, reason);
@@ -55,7 +55,7 @@
 {
     m_parallelResume = {};
     if (status != StatusNotFound) {
-        // A resume that fails says nothing of the silent stream beside it.
+        // A failed resume says nothing about the silent stream, which stays open.
         startStallTimer();
         return;
     }
@@ -64,9 +64,9 @@
         giveUp(SendFailure::BrokenAfterStart, reason);
         return;
     }
-    // The request was lost on a link that stalled, or the target has started anew since: the
-    // silent stream will never bring anything and the caller would wait to its deadline. A
-    // cancel settles which, and keeps a request that is still on its way from starting.
+    // The request was lost on a stalled connection, or the target has restarted since. The
+    // silent stream will deliver nothing and the caller would wait until its deadline. A cancel
+    // finds out which of the two it is, and prevents a request in flight from starting.
     m_stream = {};
     m_stallTimer.reset();
     cancelAndResolve(SendFailure::BrokenBeforeAnswer, StatusNotFound, reason);
@@ -81,7 +81,7 @@
               {"target", m_target.text()},
               {"failure", QLatin1String(sendFailureName(failure))},
               {"reason", reason}});
-    // Of a resume that failed nothing follows for the send before it.
+    // A failed resume does not show whether the preceding send has started.
     const bool mayHaveBegun = m_answerBegan || m_sequence.next > 0 || isResume;
     const bool neverStarted = ranAfter(failure) == Ran::No && !mayHaveBegun;
     if (neverStarted) {
@@ -119,9 +119,10 @@
 
 void GenerationRun::resumesExhausted()
 {
-    // A target behind a partition neither closes the silent stream nor takes a resume: the
-    // caller would wait to its deadline. One that is merely slow begins to answer a resume.
-    const QString reason = QStringLiteral("silent, and no resume came through");
+    // A target behind a network partition neither closes the silent stream nor answers a
+    // resume, and the caller would wait until its deadline. A target that is only slow starts
+    // to answer a resume.
+    const QString reason = QStringLiteral("the stream is silent and the target answered no resume");
     m_stream = {};
     m_parallelResume = {};
     m_stallTimer.reset();
@@ -133,8 +134,8 @@
 
 void GenerationRun::cancelAndResolve(SendFailure failure, int status, const QString &reason)
 {
-    // Only the target can say whether a send whose answer was lost has run. Until it has been
-    // told to cancel, a second send could run beside the first.
+    // Only the target knows whether a send whose answer was lost has run. Until the target has
+    // received a cancel, a second send could run concurrently with the first.
     m_context.cancels.cancel(
         m_endpoint, m_attempt, m_incarnation,
         [weak = weak_from_this(), failure, status, reason](CancelOutcome outcome) {
@@ -148,7 +149,7 @@
                                    const QString &reason)
 {
     if (failure == SendFailure::ErrorAnswer && isInvalidRequestStatus(status)) {
-        // Every other target would say the same of this request.
+        // Every other target would reject this request as well.
         const Ran ran = outcome == CancelOutcome::NotStarted ? Ran::No : ranAfter(failure);
         giveUpAs(ErrorKind::TargetRefused, ran, failure, reason);
         return;
@@ -157,8 +158,8 @@
         retryOnOtherTarget(SendFailure::CancelledBeforeStart, reason);
         return;
     }
-    // What failed last may be a resume that did not connect, which alone would pass for "not
-    // run"; the send before it did leave, and nobody vouches that it did not start.
+    // The last failure may be a resume that did not connect, which on its own would mean "not
+    // run". The preceding send did reach the network and may have started.
     SendFailure reported = failure;
     if (outcome == CancelOutcome::Started)
         reported = SendFailure::CancelledAfterStart;
@@ -177,9 +178,9 @@
     const TargetId failedTarget = m_target;
     m_ranInEarlierAttempts = std::max(m_ranInEarlierAttempts, ranAfter(failure));
     endAttempt(outcomeAfter(failure));
-    // The budget keeps retries from doubling the load. A send of which no byte left was no load,
-    // and what ran on a target that is gone is none any more; neither can come about twice at
-    // one target, since it is excluded now.
+    // The budget prevents retries from doubling the load. A send of which no byte left put no
+    // load on the target, and an unreachable target carries none any longer. Each can happen
+    // only once per target, since the target is excluded from now on.
     const bool skipsRetryBudget = failure == SendFailure::NotConnected || m_isTargetUnreachable;
     if (!skipsRetryBudget && !m_context.targets.takeRetry(m_request.workspace, failedTarget)) {
         giveUp(failure, reason);
--- a/src/delivery/PlainRequest.h
+++ b/src/delivery/PlainRequest.h
@@ -1,4 +1,3 @@
-// Defines PlainRequest, one caller's call of a plain service as delivery runs it.
 #pragma once
 
 #include "base/Ids.h"
@@ -12,18 +11,19 @@
 
 struct Configuration;
 
+/// A caller's call of a plain service, parsed and checked.
 struct PlainRequest {
     RequestId id;
     WorkspaceId workspace;
     ServiceId service;
     std::shared_ptr<const Configuration> configuration;
-    /// As it goes to the target, without the caller's key.
+    /// The request as sent to the target, without the caller's API key.
     HttpRequest upstream;
     MonotonicTime deadline;
     bool atMostOnce = false;
     QByteArray claimKey;
     QByteArray fingerprint;
-    /// By which a request that crashes targets is known again.
+    /// Identifies a repeated request that crashes targets.
     RequestFingerprint crashFingerprint;
 };
 
--- a/src/delivery/PlainRun.cpp
+++ b/src/delivery/PlainRun.cpp
@@ -30,7 +30,7 @@
         const std::shared_ptr<PlainRun> alive = shared_from_this();
         fail({ErrorKind::DeadlineExceeded,
               m_sent ? Ran::Maybe : Ran::No,
-              QStringLiteral("no answer by the deadline"),
+              QStringLiteral("the deadline passed before the target answered"),
               {},
               {}});
     });
@@ -89,14 +89,15 @@
         fail(isSameRequest
                  ? Error{ErrorKind::OutcomeUnknown,
                          Ran::Maybe,
-                         QStringLiteral("an earlier call holds this key; its answer is not kept"),
+                         QStringLiteral("an earlier call used this key; its answer is not stored"),
                          {},
                          {}}
-                 : Error{ErrorKind::IdempotencyKeyReused,
-                         Ran::No,
-                         QStringLiteral("the key belongs to a call with other content"),
-                         QStringLiteral("Idempotency-Key"),
-                         {}});
+                 : Error{
+                     ErrorKind::IdempotencyKeyReused,
+                     Ran::No,
+                     QStringLiteral("the key was already used for a call with different content"),
+                     QStringLiteral("Idempotency-Key"),
+                     {}});
         return;
     }
     send();
@@ -149,7 +150,7 @@
     m_ranInEarlierAttempts = std::max(m_ranInEarlierAttempts, ran);
     releaseTarget(outcomeAfter(failure));
     const bool mayRunAgain = ran == Ran::No || !m_request.atMostOnce;
-    // As in GenerationRun: what cost no target anything is not taken from the budget.
+    // As in GenerationRun, a send that put no load on a target does not use the retry budget.
     const bool skipsRetryBudget = failure == SendFailure::NotConnected;
     if (mayRunAgain
         && (skipsRetryBudget || m_context.targets.takeRetry(m_request.workspace, failedTarget))) {
@@ -181,7 +182,7 @@
     if (m_target.isEmpty())
         m_context.targets.withdraw(m_request.id);
     releaseTarget(AttemptOutcome::Cancelled);
-    // An earlier attempt may have run: the answer may not say less than that.
+    // An earlier attempt may have run, and the error must not report less than that.
     error.ran = std::max(error.ran, m_ranInEarlierAttempts);
     if (error.ran == Ran::No)
         m_claim.release();
--- a/src/delivery/PlainRun.h
+++ b/src/delivery/PlainRun.h
@@ -1,4 +1,3 @@
-// Defines PlainRun, which carries one call of a plain service to its end.
 #pragma once
 
 #include "base/Result.h"
@@ -21,9 +20,9 @@
 struct ClaimDecision;
 struct DeliveryContext;
 
-/// A plain service can neither be resumed nor cancelled: a call whose answer was lost may
-/// have run, and is sent again only if it may run twice.
-/// Thread safety: only from the thread of the event loop.
+/// Runs one call of a plain service to its end. A plain service supports neither resume nor
+/// cancel: a call whose answer was lost may have run and is retried only if it is idempotent.
+/// Thread safety: only from the event loop thread.
 class PlainRun : public std::enable_shared_from_this<PlainRun>
 {
 public:
@@ -35,7 +34,7 @@
     PlainRun(const PlainRun &) = delete;
     PlainRun &operator=(const PlainRun &) = delete;
 
-    /// Begins. Precondition: called once.
+    /// Starts the run. Precondition: called once.
     void start();
 
 private:
--- a/src/delivery/RequestClaim.h
+++ b/src/delivery/RequestClaim.h
@@ -1,4 +1,3 @@
-// Defines RequestClaim, the claim of one request that must run at most once.
 #pragma once
 
 #include "delivery/ClaimGate.h"
@@ -7,34 +6,34 @@
 
 namespace cranberry {
 
-/// Takes the claim before the first send and gives it back if nothing ran.
-/// A request can end while its claim is under way: its deadline passes, or its caller leaves.
-/// The claim, won afterwards, would keep the key taken for a day though nothing ran; it is given
-/// back then, whether or not the request's own object still lives.
-/// Thread safety: only from the thread of its gate.
+/// The claim of one at-most-once request: acquired before the first send and released if nothing
+/// ran. A request can end while its claim is pending, because its deadline passes or its caller
+/// disconnects. A claim that is won afterwards would block the key for a day although nothing
+/// ran, so it is released, whether or not this object still exists.
+/// Thread safety: only from the thread of its claim service.
 class RequestClaim
 {
 public:
-    /// Precondition: @p gate outlives every claim under way.
+    /// Precondition: @p claims outlives every pending claim.
     RequestClaim(ClaimService &claims, QByteArray key, QByteArray fingerprint);
     ~RequestClaim();
     RequestClaim(const RequestClaim &) = delete;
     RequestClaim &operator=(const RequestClaim &) = delete;
 
-    /// The claim stands, so that the request may be sent.
+    /// Whether the claim is held, so that the request may be sent.
     bool isHeld() const { return m_state->held; }
-    /// The attempt that it was taken for; empty before take().
+    /// The attempt that the claim was requested for; empty before acquire().
     const AttemptId &attempt() const { return m_attempt; }
 
-    /// Claims for @p attempt; @p callback is called once unless abandon() comes first.
-    /// Precondition: not taken before.
+    /// Requests the claim for @p attempt. @p callback is called once, unless abandon() is called
+    /// first. Precondition: called once.
     void acquire(const AttemptId &attempt, ClaimService::Callback callback);
 
-    /// The request is over: a claim still under way is given back if it is won. One that is held
-    /// stays.
+    /// Called when the request has ended: a pending claim is released if it is won later. A claim
+    /// that is already held is kept.
     void abandon() { m_state->abandoned = true; }
 
-    /// Gives back a claim that is held. Precondition: nothing under it ran.
+    /// Releases the claim if it is held. Precondition: nothing ran under it.
     void release();
 
 private:
--- a/src/delivery/RunRegistry.cpp
+++ b/src/delivery/RunRegistry.cpp
@@ -59,8 +59,8 @@
 
 void RunRegistry::retain(const std::shared_ptr<GenerationRun> &run)
 {
-    // A request that did not run may be sent again as if it were new; one that another request
-    // holds is not this daemon's to answer.
+    // A request that did not run may be sent again like a new one. A run that ended because
+    // another request holds its key has no answer that could be replayed.
     const bool isReplayable = run->failure() ? run->failure()->ran != Ran::No : run->isComplete();
     if (!isReplayable) {
         m_runsByClaim.remove(run->request().claimKey);
--- a/src/delivery/RunRegistry.h
+++ b/src/delivery/RunRegistry.h
@@ -1,4 +1,3 @@
-// Defines RunRegistry, the runs of this daemon, by claim key where they have one.
 #pragma once
 
 #include "base/Units.h"
@@ -19,16 +18,19 @@
 class TimerSubscription;
 struct DeliveryContext;
 
-/// Bounds on what is kept of finished at-most-once runs for senders that come again.
+/// Bounds on at-most-once runs that are retained for requests that repeat their key.
 struct RunRetention {
+    /// Time for which a finished run is retained.
     Milliseconds finishedDuration{60'000};
+    /// Limit on the event data of all retained runs; the oldest run is evicted first.
     Bytes maxBytes{32 * 1024 * 1024};
-    /// Time for which an at-most-once run goes on after its caller has left.
+    /// Time for which an at-most-once run continues after its last caller has disconnected.
     Milliseconds abandonedTimeout{30'000};
 };
 
-/// Owns runs from their start to the end of their retention.
-/// Thread safety: only from the thread of the event loop.
+/// Owns the runs of this daemon from their start to the end of their retention and finds
+/// at-most-once runs by claim key.
+/// Thread safety: only from the event loop thread.
 class RunRegistry
 {
 public:
@@ -37,18 +39,18 @@
     RunRegistry(const RunRegistry &) = delete;
     RunRegistry &operator=(const RunRegistry &) = delete;
 
-    /// Starts a run with one sink.
+    /// Starts a run that delivers to @p sink.
     std::shared_ptr<GenerationRun> start(GenerationRequest request,
                                          const std::shared_ptr<AnswerSink> &sink,
                                          GenerationRun::ClaimHeldCallback onClaimHeld);
 
-    /// The run that holds @p claimKey here, running or lately finished; null if there is none.
+    /// The running or retained run with @p claimKey; null if this daemon has none.
     std::shared_ptr<GenerationRun> findByClaim(const QByteArray &claimKey) const;
 
-    /// Runs that are not over.
+    /// Number of runs that have not ended.
     int running() const { return int(m_running.size()); }
 
-    /// @p callback is called whenever no run is left.
+    /// Sets a callback that is called whenever the last run has ended.
     void onIdle(std::function<void()> callback) { m_onIdle = std::move(callback); }
 
 private:
--- a/src/delivery/SendFailure.cpp
+++ b/src/delivery/SendFailure.cpp
@@ -94,8 +94,8 @@
         return SendFailure::ErrorAnswer;
     const QJsonObject answer = QJsonDocument::fromJson(body).object();
     const QJsonValue started = answer.value(QStringLiteral("started"));
-    // A proxy on the way may answer 503 for a request that did reach the target: only the
-    // target's own word counts.
+    // An intermediate proxy may answer 503 for a request that did reach the target, so only the
+    // target's own "started" member counts.
     if (!started.isBool() || started.toBool())
         return SendFailure::ErrorAnswer;
     return answer.value(QStringLiteral("leaving")).toBool() ? SendFailure::RefusedAsLeaving
--- a/src/delivery/SendFailure.h
+++ b/src/delivery/SendFailure.h
@@ -1,4 +1,3 @@
-// Defines SendFailure, where a send to a target failed, and what that says about whether it ran.
 #pragma once
 
 #include "base/ErrorKind.h"
@@ -7,43 +6,43 @@
 
 namespace cranberry {
 
-/// Where one send failed.
+/// How a send to a target failed. ranAfter() tells whether the request may have run.
 enum class SendFailure {
-    /// No connection came about; no byte of the request left.
+    /// No connection was established; no byte of the request was sent.
     NotConnected,
-    /// The target answered 429 or 503 and said that it had not started.
+    /// The target answered 429 or 503 and reported that it had not started the request.
     RefusedBeforeStart,
-    /// As RefusedBeforeStart, and the target said that it leaves.
+    /// As RefusedBeforeStart, and the target reported that it is draining.
     RefusedAsLeaving,
-    /// The target answered a cancel and said that it had not started and never will.
+    /// The target answered a cancel: the request had not started and never will.
     CancelledBeforeStart,
-    /// The target answered a cancel and said that it had started.
+    /// The target answered a cancel: the request had started.
     CancelledAfterStart,
-    /// The target answered with an error and did not say whether it had started.
+    /// The target answered with an error without reporting whether the request had started.
     ErrorAnswer,
-    /// The connection broke or timed out after bytes had left and before an answer began.
+    /// The connection broke or timed out after bytes were sent and before an answer began.
     BrokenBeforeAnswer,
-    /// What came back was not of the protocol.
+    /// The answer violates the protocol.
     MalformedAnswer,
-    /// The answer began, so the target had started, and then broke off.
+    /// The answer began, so the request had started, and then broke off.
     BrokenAfterStart,
 };
 
-/// What may be said of a request whose only send failed this way. "No" is said only if no
-/// byte left or the target itself said that it did not start. Thread-safe.
+/// Whether a request whose only send failed with @p failure may have run. Ran::No is returned
+/// only if no byte was sent or the target itself reported that it did not start. Thread-safe.
 Ran ranAfter(SendFailure failure);
 
-/// What @p failure says of the target. Thread-safe.
+/// What @p failure says about the state of the target. Thread-safe.
 AttemptOutcome outcomeAfter(SendFailure failure);
 
-/// The name of @p failure in log lines. Thread-safe.
+/// The name of @p failure in log lines and error messages. Thread-safe.
 const char *sendFailureName(SendFailure failure);
 
-/// How a send failed whose exchange ended as @p end. Precondition: @p end is not Complete.
-/// @p answerBegan: a success status had arrived. Thread-safe.
+/// The failure of a send whose HTTP exchange ended with @p end. @p answerBegan tells whether a
+/// success status had arrived. Precondition: @p end is not Complete. Thread-safe.
 SendFailure failureOfExchange(HttpExchangeEnd end, bool answerBegan);
 
-/// How a send failed that was answered with an error @p status and @p body. Thread-safe.
+/// The failure of a send that was answered with error @p status and @p body. Thread-safe.
 SendFailure failureOfAnswer(int status, const QByteArray &body);
 
 } // namespace cranberry
--- a/src/delivery/ServerSentEvents.cpp
+++ b/src/delivery/ServerSentEvents.cpp
@@ -35,7 +35,7 @@
     return event;
 }
 
-/// Position and length of the first blank line, length 0 if there is none.
+/// Position and length of the first blank line; the length is 0 if there is none.
 QPair<qsizetype, qsizetype> firstBlankLine(const QByteArray &bytes)
 {
     const qsizetype plain = bytes.indexOf("\n\n");
--- a/src/delivery/ServerSentEvents.h
+++ b/src/delivery/ServerSentEvents.h
@@ -1,4 +1,3 @@
-// Defines ServerSentEventParser, which cuts a byte stream into server-sent events.
 #pragma once
 
 #include <QByteArray>
@@ -10,28 +9,29 @@
     QByteArray id;
     QByteArray name;
     QByteArray data;
-    /// The bytes as they came, with the blank line and any block without data before it.
+    /// The bytes as received, including the blank line and any preceding blocks without data.
     QByteArray raw;
 };
 
-/// Collects bytes until an event is whole. Source: the event stream format of the HTML
-/// standard, as far as targets use it (id, event, data; LF or CRLF).
-/// Thread safety: none; one object belongs to one stream.
+/// Incremental parser that splits a byte stream into server-sent events. Implements the part of
+/// the event stream format of the HTML standard that targets use: the fields id, event and data,
+/// with LF or CRLF line ends.
+/// Thread safety: none; each stream has its own parser.
 class ServerSentEventParser
 {
 public:
-    /// Events that are whole with @p bytes. An unfinished event over the bound makes
-    /// isMalformed() true and yields nothing more.
+    /// Appends @p bytes and returns the events that they complete. If an incomplete event exceeds
+    /// 1 MiB, isMalformed() becomes true and no further events are returned.
     QList<ServerSentEvent> feed(const QByteArray &bytes);
 
     bool isMalformed() const { return m_malformed; }
 
-    /// Bytes that belong to no whole event.
+    /// The received bytes that belong to no complete event.
     QByteArray unparsedBytes() const { return m_skipped + m_pending; }
 
 private:
     QByteArray m_pending;
-    /// Whole blocks without data, which go out with the next event.
+    /// Complete blocks without data, which become part of the next event's raw bytes.
     QByteArray m_skipped;
     bool m_malformed = false;
 };
--- a/src/delivery/StallThreshold.cpp
+++ b/src/delivery/StallThreshold.cpp
@@ -7,8 +7,11 @@
 
 namespace {
 
+/// Minimum weight of a new gap in the mean and variance; earlier gaps decay accordingly.
 constexpr double MinGapWeight = 0.02;
+/// Standard deviations above the mean gap at which silence counts as a stall.
 constexpr double StallDeviations = 8.0;
+/// Gaps that have to be known before the threshold follows the statistics.
 constexpr qint64 MinGapCount = 20;
 
 } // namespace
--- a/src/delivery/StallThreshold.h
+++ b/src/delivery/StallThreshold.h
@@ -1,30 +1,29 @@
-// Defines when a silent stream counts as stalled.
 #pragma once
 
 #include "base/Units.h"
 
 namespace cranberry {
 
-/// Running mean and variance of the time between events, decayed so that it follows load.
+/// Exponentially weighted mean and variance of the time between events; follows the load.
 struct GapStatistics {
     double meanMs = 0;
     double varianceMs = 0;
     qint64 count = 0;
 };
 
-/// Bounds of the watchdog, from the settings.
+/// Bounds on the silence after which a stream counts as stalled, from the settings.
 struct StallLimits {
-    /// Below this a stream is never taken for stalled: engines pause while they read prompts.
+    /// A shorter silence never counts as a stall: engines pause while they prefill prompts.
     Milliseconds minSilence{400};
-    /// Above this it always is; also holds before the first event.
+    /// A longer silence always counts as a stall. Also applies before the first event.
     Milliseconds maxSilence{3000};
 };
 
-/// Adds one gap. Thread safety: none; the caller owns @p statistics.
+/// Adds the time between two events. Thread safety: none; the caller owns @p statistics.
 void recordGap(GapStatistics &statistics, Milliseconds gap);
 
-/// Silence after which a resume is opened beside the stream: the mean gap and several
-/// standard deviations, within the limits. Thread-safe.
+/// The silence after which a stream counts as stalled and a parallel resume is opened: the mean
+/// gap plus several standard deviations, within @p limits. Thread-safe.
 Milliseconds stallThreshold(const GapStatistics &statistics, const StallLimits &limits);
 
 } // namespace cranberry
--- a/src/delivery/TargetCancels.h
+++ b/src/delivery/TargetCancels.h
@@ -1,4 +1,3 @@
-// Defines TargetCancels, the cancel requests to targets that are under way.
 #pragma once
 
 #include "base/Ids.h"
@@ -14,33 +13,33 @@
 class HttpClient;
 class HttpExchange;
 
-/// What a target said to a cancel.
+/// A target's answer to a cancel.
 enum class CancelOutcome {
-    /// It had not started and never will.
+    /// The attempt had not started and never will.
     NotStarted,
-    /// It had started; it runs no further.
+    /// The attempt had started and is stopped.
     Started,
-    /// No usable answer: the target may be dead or still running it.
+    /// No usable answer: the target may be dead or may still be running the attempt.
     NoAnswer,
 };
 
-/// Cancels generations and keeps the exchanges until they are answered.
-/// Thread safety: only from the thread of its client.
+/// Cancels generations at targets and owns the pending cancel requests.
+/// Thread safety: only from the thread of its HTTP client.
 class TargetCancels
 {
 public:
     using Callback = std::function<void(CancelOutcome)>;
 
-    /// Precondition: @p client outlives it.
+    /// Precondition: @p client outlives the object.
     explicit TargetCancels(HttpClient &client);
     ~TargetCancels();
     TargetCancels(const TargetCancels &) = delete;
     TargetCancels &operator=(const TargetCancels &) = delete;
 
-    /// Cancels @p attempt at the target and calls back once. NotStarted is only told if the
-    /// answer comes from the target's start @p sentTo: one that was started anew knows nothing
-    /// of what ran before. Incarnations only grow and @p sentTo was known before the send, so
-    /// the same one now was there all the time.
+    /// Cancels @p attempt at the target and calls back once. NotStarted is only reported if the
+    /// answering target has incarnation @p sentIncarnation, which was known before the send: a
+    /// target that has restarted knows nothing of what ran before. Incarnations only grow, so a
+    /// target that still has the same one has not restarted since the send.
     void cancel(const HttpEndpoint &endpoint, const AttemptId &attempt, Incarnation sentIncarnation,
                 Callback callback);
 
--- a/src/delivery/TargetDemand.h
+++ b/src/delivery/TargetDemand.h
@@ -1,4 +1,3 @@
-// Defines TargetDemand, what delivery asks of admission and placement for one attempt.
 #pragma once
 
 #include "admission/AdmissionRequest.h"
@@ -6,9 +5,10 @@
 
 namespace cranberry {
 
+/// The request of one attempt to admission and placement for a target.
 struct TargetDemand {
     AdmissionRequest admission;
-    /// By which a request that crashes targets is known again.
+    /// Identifies a repeated request that crashes targets.
     RequestFingerprint fingerprint;
 };
 
--- a/src/delivery/TargetRequests.h
+++ b/src/delivery/TargetRequests.h
@@ -1,4 +1,3 @@
-// Defines the HTTP requests by which a generation is sent to a target and resumed there.
 #pragma once
 
 #include "base/Ids.h"
@@ -8,10 +7,11 @@
 struct GenerationRequest;
 struct HttpRequest;
 
-/// The first send of @p attempt. Thread-safe.
+/// The HTTP request that sends @p request to a target as @p attempt. Thread-safe.
 HttpRequest attemptRequest(const GenerationRequest &request, const AttemptId &attempt);
 
-/// Asks for the events of @p attempt from number @p from on. Thread-safe.
+/// The HTTP request that resumes @p attempt at its target from event index @p from on.
+/// Thread-safe.
 HttpRequest resumeRequest(const AttemptId &attempt, qint64 from);
 
 } // namespace cranberry
--- a/src/delivery/TargetSource.h
+++ b/src/delivery/TargetSource.h
@@ -1,4 +1,3 @@
-// Defines TargetSource, where delivery asks for a target and reports what it did with it.
 #pragma once
 
 #include "base/Ids.h"
@@ -16,26 +15,27 @@
 struct TargetAssignment {
     TargetId target;
     HttpEndpoint endpoint;
-    /// The start of the target that was known when it was chosen; 0 if none was.
+    /// Incarnation of the target when it was chosen; 0 if unknown.
     Incarnation incarnation;
 };
 
-/// How an attempt ended, as far as the target's state is concerned.
+/// How an attempt ended, as far as it concerns the state of the target.
 enum class AttemptOutcome {
     Finished,
     Cancelled,
-    /// The target refused it and named no reason to think that it is unwell.
+    /// The target refused the attempt, which is no sign that the target is unhealthy.
     Refused,
-    /// The target refused it because it leaves.
+    /// The target refused the attempt because it is draining.
     Leaving,
-    /// No connection came about: the target may be dead, and the attempt is not to blame.
+    /// No connection was established: the target may be dead, and the attempt did not cause it.
     NotConnected,
-    /// The connection broke: the target may be dead, and the attempt may be to blame.
+    /// The connection broke: the target may be dead, and the attempt may have caused it.
     ConnectionLost,
 };
 
-/// Admission and placement as delivery sees them.
-/// Thread safety: only from the thread of the event loop.
+/// Interface of admission and placement to delivery, which acquires targets and reports how
+/// attempts on them proceed and end.
+/// Thread safety: only from the event loop thread.
 class TargetSource
 {
 public:
@@ -46,24 +46,26 @@
     TargetSource(const TargetSource &) = delete;
     TargetSource &operator=(const TargetSource &) = delete;
 
-    /// Asks for a target. Calls back once, possibly before it returns, with a place on which
-    /// the attempt then counts, or with the refusal, at once when it is known.
+    /// Requests a target. Calls back once, possibly before returning: with an assignment, from
+    /// which on the attempt counts as load of the target, or with an error as soon as the request
+    /// is refused.
     virtual void acquire(const TargetDemand &demand, Callback callback) = 0;
 
-    /// Withdraws the acquire of @p request if it has not called back.
+    /// Cancels the pending acquire() of @p request, if there is one.
     virtual void withdraw(const RequestId &request) = 0;
 
-    /// A token of @p attempt arrived.
+    /// Reports that a token of @p attempt has arrived.
     virtual void tokenReceived(const AttemptId &attempt) = 0;
 
-    /// @p attempt no longer counts on @p target.
+    /// Reports that @p attempt has ended and is no longer load of @p target.
     virtual void attemptEnded(const AttemptId &attempt, const TargetId &target,
                               AttemptOutcome outcome) = 0;
 
-    /// Nothing further will be asked for @p request.
+    /// Reports that no further target will be requested for @p request.
     virtual void requestEnded(const RequestId &request) = 0;
 
-    /// Whether the workspace and target may spend a further send on a retry.
+    /// Consumes one retry from the budgets of @p workspace and @p target. Returns false if the
+    /// retry is not allowed.
     virtual bool takeRetry(const WorkspaceId &workspace, const TargetId &target) = 0;
 };
 
--- a/src/delivery/TargetStream.cpp
+++ b/src/delivery/TargetStream.cpp
@@ -42,10 +42,11 @@
     m_status = status;
     if (status != StatusOk)
         return;
-    // An answer to another send must not be taken for this one's, even as a whole.
+    // The complete answer to another attempt must not be delivered as the answer to this one.
     const QByteArray echoed = headers.value("Cranberry-Attempt");
     if (!echoed.isEmpty() && echoed != m_attempt.text().toUtf8()) {
-        finish(SendFailure::MalformedAnswer, QStringLiteral("answer to another attempt"));
+        finish(SendFailure::MalformedAnswer,
+               QStringLiteral("the answer belongs to another attempt"));
         return;
     }
     m_answerBegan = true;
@@ -73,7 +74,7 @@
             return;
     }
     if (m_events.isMalformed())
-        finish(SendFailure::BrokenAfterStart, QStringLiteral("event too long"));
+        finish(SendFailure::BrokenAfterStart, QStringLiteral("an event exceeds the size limit"));
 }
 
 void TargetStream::exchangeEnded(HttpExchangeEnd end, const QString &reason)
@@ -87,7 +88,8 @@
         return;
     }
     if (!m_lastEventReceived) {
-        finish(SendFailure::BrokenAfterStart, QStringLiteral("answer without a last event"));
+        finish(SendFailure::BrokenAfterStart,
+               QStringLiteral("the answer ended without a last event"));
         return;
     }
     finish(std::nullopt, {});
--- a/src/delivery/TargetStream.h
+++ b/src/delivery/TargetStream.h
@@ -1,4 +1,3 @@
-// Defines TargetStream, one HTTP exchange with a target that brings events of a generation.
 #pragma once
 
 #include "base/Ids.h"
@@ -18,19 +17,20 @@
 class HttpHeaders;
 struct HttpRequest;
 
-/// What the owner of a target stream is told. A callback may destroy the stream.
+/// Callbacks of a TargetStream. A callback may destroy the stream.
 struct TargetStreamCallbacks {
-    /// The target began to answer, so it has started.
+    /// The target began to answer, so the generation has started.
     std::function<void()> answerBegan;
     std::function<void(const TokenEvent &event)> event;
-    /// Called once, last: nothing if the stream closed regularly after its last event.
+    /// Called once, as the last callback. @p failure is empty if the stream was closed regularly
+    /// after its last event.
     std::function<void(std::optional<SendFailure> failure, int status, const QString &reason)>
         ended;
 };
 
-/// A send or a resume under way. Destroying it closes the connection, which does not cancel
-/// the generation at the target.
-/// Thread safety: only from the thread of its client.
+/// One HTTP exchange with a target, a send or a resume, that delivers the events of a generation.
+/// Destroying it closes the connection, which does not cancel the generation at the target.
+/// Thread safety: only from the thread of its HTTP client.
 class TargetStream
 {
 public:
--- a/src/delivery/TokenEvent.cpp
+++ b/src/delivery/TokenEvent.cpp
@@ -31,11 +31,11 @@
     TokenEvent token;
     token.index = event.id.toLongLong(&isNumber);
     if (!isNumber || token.index < 0)
-        return malformed(QStringLiteral("event without a numeric id"));
+        return malformed(QStringLiteral("an event has no numeric id"));
     const QJsonObject object = QJsonDocument::fromJson(event.data).object();
     const QJsonObject choice = object.value(QStringLiteral("choices")).toArray().at(0).toObject();
     if (choice.isEmpty())
-        return malformed(QStringLiteral("event without a choice"));
+        return malformed(QStringLiteral("an event has no choice"));
     token.attempt = AttemptId(object.value(QStringLiteral("id")).toString());
     token.data = event.data;
     token.text = textOfChoice(choice);
--- a/src/delivery/TokenEvent.h
+++ b/src/delivery/TokenEvent.h
@@ -1,4 +1,3 @@
-// Defines TokenEvent, one event of a target's streamed answer.
 #pragma once
 
 #include "base/Ids.h"
@@ -10,23 +9,24 @@
 
 struct ServerSentEvent;
 
+/// One event of a target's streamed answer.
 struct TokenEvent {
-    /// The generation it says it belongs to.
+    /// The attempt that the event states as its origin.
     AttemptId attempt;
-    /// Position in the answer, from 0.
+    /// Position in the answer, counted from 0.
     qint64 index = 0;
-    /// The JSON object as the target wrote it.
+    /// The JSON object exactly as the target sent it.
     QByteArray data;
     QString text;
-    /// Set on the last event: "stop" or "length".
+    /// "stop" or "length" in the last event; empty otherwise.
     QString finishReason;
-    /// Usage of the last event, as JSON; empty otherwise.
+    /// Token usage in the last event, as JSON; empty otherwise.
     QByteArray usage;
 
     bool isLast() const { return !finishReason.isEmpty(); }
 };
 
-/// Reads @p event. Error TargetFailed: it is not of the target protocol. Thread-safe.
+/// Parses @p event. Error TargetFailed: the event violates the target protocol. Thread-safe.
 Result<TokenEvent> parseTokenEvent(const ServerSentEvent &event);
 
 } // namespace cranberry
--- a/src/delivery/TokenSequence.h
+++ b/src/delivery/TokenSequence.h
@@ -1,35 +1,36 @@
-// Defines TokenSequence, the rule of which events of targets reach the caller.
 #pragma once
 
 #include "base/Ids.h"
 
 namespace cranberry {
 
-/// How far the answer to one request has come.
+/// Delivery progress of the answer to one request.
 struct TokenSequence {
-    /// The generation chosen for this answer; set with the first token and never changed after.
+    /// The attempt that this answer is taken from; set with the first token and constant after.
     AttemptId generation;
     /// Index of the next event to deliver.
     qint64 next = 0;
-    /// The last event was delivered.
+    /// Whether the last event was delivered.
     bool complete = false;
 };
 
+/// Whether an event may be delivered, or the reason why not.
 enum class TokenVerdict {
     Deliver,
-    /// It was delivered before: a resumed stream replays, or the target doubled it.
+    /// The event was already delivered: a resumed stream replays it, or the target duplicated it.
     Duplicate,
-    /// It belongs to another generation than the one chosen.
+    /// The event belongs to another generation than the one chosen for the answer.
     OtherGeneration,
-    /// An event before it is missing; this stream cannot go on and has to be resumed.
+    /// A preceding event is missing; the stream cannot continue and has to be resumed.
     Gap,
-    /// The answer was complete before.
+    /// The answer was already complete.
     AfterEnd,
 };
 
-/// Whether the event @p index of @p attempt may be delivered next; records it if so. With
-/// this rule alone each token is delivered once, in order, from one generation, whatever
-/// streams bring late, doubled or crossed. @p isLast: it is the last event of the generation.
+/// Decides whether event @p index of @p attempt may be delivered next, and records it if so.
+/// This rule alone ensures that each token is delivered once, in order and from one generation,
+/// even if streams deliver events late, duplicated or interleaved. @p isLast: the event is the
+/// last one of the generation.
 /// Thread safety: none; the caller owns @p sequence.
 TokenVerdict acceptToken(TokenSequence &sequence, const AttemptId &attempt, qint64 index,
                          bool isLast);
--- a/src/gateway/AnswerMetrics.h
+++ b/src/gateway/AnswerMetrics.h
@@ -1,4 +1,3 @@
-// Defines AnswerMetrics, what callers experienced, for the metrics.
 #pragma once
 
 #include "base/ErrorKind.h"
@@ -8,7 +7,8 @@
 
 namespace cranberry {
 
-/// Only grows. No workspace is named: what one workspace does is nobody else's to see.
+/// Outcomes and latencies of the answers to callers, for the metrics. All values only grow. They
+/// are not split by workspace, because the metrics must not reveal the activity of a workspace.
 struct AnswerMetrics {
     qint64 completed = 0;
     std::array<qint64, ErrorKindCount> failedByKind{};
--- a/src/gateway/ArrivalTime.h
+++ b/src/gateway/ArrivalTime.h
@@ -1,13 +1,13 @@
-// Defines ArrivalTime, when a caller's request reached the daemon.
 #pragma once
 
 #include "base/Units.h"
 
 namespace cranberry {
 
+/// The time at which a caller's request reached the daemon.
 struct ArrivalTime {
     MonotonicTime monotonic;
-    /// Milliseconds since 1970; only for the age that an idempotency key states.
+    /// Milliseconds since the Unix epoch; used only for the age stated in an idempotency key.
     qint64 wallClockMs = 0;
 };
 
--- a/src/gateway/CallerHeaders.cpp
+++ b/src/gateway/CallerHeaders.cpp
@@ -23,7 +23,7 @@
             {}};
 }
 
-/// Reads a whole number in [least, most]; nothing if the header is absent.
+/// Parses an integer in [min, max]; empty if the header is absent.
 Result<std::optional<qint64>> numberHeader(const HttpRequest &request, const char *name, qint64 min,
                                            qint64 max)
 {
@@ -78,13 +78,13 @@
 {
     if (idempotencyKey.isEmpty())
         return keyRequired();
-    // The claim of such a key may have been forgotten: a caller that sends a request of the day
-    // before yesterday again would have it run twice.
+    // The claim of a key beyond the retention may have been deleted, and a repeated request that
+    // has already run would run a second time.
     const auto retention = ClaimSettings().retention;
     if (!isBeyondRetention(idempotencyKey, arrival.wallClockMs, retention))
         return outcome::success();
     return badHeader("Idempotency-Key",
-                     QStringLiteral("a key of the last %1 h").arg(retention.count()),
+                     QStringLiteral("a key created in the last %1 h").arg(retention.count()),
                      idempotencyKey);
 }
 
--- a/src/gateway/CallerHeaders.h
+++ b/src/gateway/CallerHeaders.h
@@ -1,4 +1,3 @@
-// Defines CallerHeaders, the headers by which callers say how a request is to be run.
 #pragma once
 
 #include "base/Result.h"
@@ -13,22 +12,24 @@
 struct ArrivalTime;
 struct HttpRequest;
 
+/// The headers of a caller that control how its request is run.
 struct CallerHeaders {
-    /// Empty if the caller gave none.
+    /// Empty if the caller sent no key.
     QByteArray idempotencyKey;
-    /// Absent if the service's default holds.
+    /// Absent if the caller did not specify it; the service's default then applies.
     std::optional<bool> atMostOnce;
     std::optional<Milliseconds> deadline;
     int priority = 0;
 };
 
-/// Reads Idempotency-Key, Cranberry-Idempotent, Cranberry-Deadline-Ms and Cranberry-Priority.
-/// Error BadHeader names the header, what it holds and what is allowed. Thread-safe.
+/// Parses Idempotency-Key, Cranberry-Idempotent, Cranberry-Deadline-Ms and Cranberry-Priority.
+/// Error BadHeader states the header, its value and the allowed values. Thread-safe.
 Result<CallerHeaders> parseCallerHeaders(const HttpRequest &request);
 
-/// Whether a request that must run at most once may run under this key. Error
-/// IdempotencyKeyRequired: there is none. Error BadHeader: it says that it is older than claims
-/// are kept, so that nobody could tell whether the request has run. Thread-safe.
+/// Checks that an at-most-once request may run under @p idempotencyKey. Error
+/// IdempotencyKeyRequired: the key is empty. Error BadHeader: the time stated in the key is older
+/// than the retention of claims, so that it is unknown whether the request has already run.
+/// Thread-safe.
 Result<void> checkAtMostOnceKey(const QByteArray &idempotencyKey, const ArrivalTime &arrival);
 
 } // namespace cranberry
--- a/src/gateway/CompletionAnswer.h
+++ b/src/gateway/CompletionAnswer.h
@@ -1,4 +1,3 @@
-// Defines CompletionAnswer, which writes a generation back to its caller.
 #pragma once
 
 #include "delivery/AnswerSink.h"
@@ -15,13 +14,13 @@
 class TimerService;
 struct AnswerMetrics;
 
-/// One caller's answer, as server-sent events or as one JSON object. The status line goes out
-/// with the first event, so that a failure before it can still be answered with its status.
+/// Writes a generation to its caller, as server-sent events or as one JSON object. The status
+/// line is sent with the first event, so that an earlier failure is answered with its own status.
 /// Thread safety: only from the thread of the server.
 class CompletionAnswer final : public AnswerSink
 {
 public:
-    /// @p tooSlow is called, once, when the caller does not read its stream.
+    /// @p onSlowReader is called at most once, when the caller reads its stream too slowly.
     /// Precondition: @p timers and @p metrics outlive the answer.
     CompletionAnswer(std::shared_ptr<HttpResponder> responder, const CompletionRequest &request,
                      TimerService &timers, AnswerMetrics &metrics,
--- a/src/gateway/CompletionRequest.cpp
+++ b/src/gateway/CompletionRequest.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// Bytes of prompt text taken for one token where the target's own count is not known yet.
+/// Estimated bytes of prompt text per token, used until the target has reported its own count.
 constexpr qint64 BytesPerToken = 4;
-/// Bytes of the prompt's start that decide which cached prefix it can share.
+/// Length of the prompt's start that is hashed to identify the cached prefix it can share.
 constexpr qsizetype PrefixBytes = 256;
 
 const QString ModelMember = QStringLiteral("model");
@@ -49,7 +49,7 @@
     if (fault.error != QJsonParseError::NoError)
         return Error{ErrorKind::BadRequest,
                      Ran::No,
-                     QStringLiteral("body: not JSON at byte %1: %2")
+                     QStringLiteral("body: invalid JSON at byte %1: %2")
                          .arg(fault.offset)
                          .arg(fault.errorString()),
                      QStringLiteral("body"),
@@ -63,7 +63,7 @@
     return document.object();
 }
 
-/// The text that the model reads, for its length and prefix.
+/// The text of the prompt or of all messages, from which length and prefix are computed.
 Result<QString> promptText(const QJsonObject &body, CompletionShape shape)
 {
     if (shape == CompletionShape::Text) {
@@ -101,7 +101,7 @@
     return Tokens(qint64(number));
 }
 
-/// The service and bound of the model, if the workspace may use it.
+/// The configuration of the requested model, if the workspace may use it.
 Result<ModelConfiguration> permittedModel(const QJsonObject &body, const WorkspaceId &workspace,
                                           const Configuration &configuration)
 {
@@ -112,8 +112,8 @@
     const auto owner = configuration.workspaces.constFind(workspace);
     const bool known = model != configuration.models.constEnd()
         && owner != configuration.workspaces.constEnd() && owner->services.contains(model->service);
-    // A model of another workspace's service is answered as an unknown one, so that names
-    // cannot be probed.
+    // A model of a service that the workspace may not use is reported as unknown, so that a
+    // caller cannot probe for names.
     if (!known)
         return Error{
             ErrorKind::UnknownModel,
@@ -142,7 +142,7 @@
     return sha256({salt, prefix}).left(8).toHex().toULongLong(nullptr, 16);
 }
 
-/// The body for the target: always streamed, with the bound on tokens stated.
+/// The request body for the target: always streamed and with an explicit token limit.
 QByteArray targetBody(QJsonObject body, Tokens bound)
 {
     body.insert(StreamMember, true);
@@ -150,7 +150,7 @@
     return QJsonDocument(body).toJson(QJsonDocument::Compact);
 }
 
-/// What the caller's headers, or else the service's defaults, say of how it is run.
+/// Sets how the request is run, from the caller's headers or the defaults of the service.
 Result<void> applyHeaders(GenerationRequest &generation, const CallerHeaders &headers,
                           const ServiceConfiguration &service, const ArrivalTime &arrival)
 {
@@ -204,7 +204,7 @@
     generation.prefixHash = prefixHashOf(generation.cacheSalt, text);
     BOOST_OUTCOME_TRY(
         applyHeaders(generation, headers, configuration->services.value(model.service), arrival));
-    // Streaming or not, it is the same request.
+    // The same request with and without streaming has the same fingerprint.
     body.remove(StreamMember);
     generation.fingerprint =
         sha256({request.path, QJsonDocument(body).toJson(QJsonDocument::Compact)});
--- a/src/gateway/CompletionRequest.h
+++ b/src/gateway/CompletionRequest.h
@@ -1,4 +1,3 @@
-// Defines how a caller's completion request is read and checked.
 #pragma once
 
 #include "base/Result.h"
@@ -14,21 +13,23 @@
     Chat,
 };
 
+/// A caller's completion request, parsed and checked.
 struct CompletionRequest {
     GenerationRequest generation;
     CompletionShape shape = CompletionShape::Text;
-    /// The caller wants server-sent events.
+    /// Whether the answer is sent as server-sent events.
     bool stream = false;
 };
 
-/// Reads @p request of @p workspace under @p configuration. Errors name the JSON path or
-/// header at fault and what is allowed; every one says that nothing ran. Thread-safe.
+/// Parses and checks @p request of @p workspace under @p configuration. Errors state the invalid
+/// JSON path or header and the allowed values, and have Ran::No. Thread-safe.
 Result<CompletionRequest> parseCompletion(const HttpRequest &request, CompletionShape shape,
                                           const WorkspaceId &workspace,
                                           const std::shared_ptr<const Configuration> &configuration,
                                           const ArrivalTime &arrival);
 
-/// SHA-256 of @p workspace and @p idempotencyKey: what a claim is kept under. Thread-safe.
+/// SHA-256 of @p workspace and @p idempotencyKey, the key under which a claim is stored.
+/// Thread-safe.
 QByteArray claimKeyOf(const WorkspaceId &workspace, const QByteArray &idempotencyKey);
 
 } // namespace cranberry
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -36,12 +36,14 @@
 {
     return {ErrorKind::IdempotencyKeyReused,
             Ran::No,
-            QStringLiteral("the key belongs to a request with other content; choose a new key"),
+            QStringLiteral("the key was already used for a request with different content; "
+                           "use a new key"),
             QStringLiteral("Idempotency-Key"),
             {}};
 }
 
-/// Headers of a plain service's answer that HTTP frames anew on the way back.
+/// Headers about message framing, which the HTTP server sets itself when it forwards the answer
+/// of a plain service.
 bool isFramingHeader(const QByteArray &name)
 {
     const QByteArray lower = name.toLower();
@@ -113,7 +115,7 @@
         refuse(
             {ErrorKind::UnknownPath,
              Ran::No,
-             QStringLiteral("%1 %2 is not served here")
+             QStringLiteral("%1 %2: unknown method or path")
                  .arg(QString::fromUtf8(request.method), QString::fromUtf8(request.path.left(80))),
              QStringLiteral("path"),
              {}},
@@ -140,15 +142,16 @@
 Result<WorkspaceId> Gateway::admit(const HttpRequest &request) const
 {
     if (m_refusesNewRequests)
-        return Error{ErrorKind::Draining,
-                     Ran::No,
-                     QStringLiteral("this daemon is shutting down; another one serves you"),
-                     {},
-                     {}};
+        return Error{
+            ErrorKind::Draining,
+            Ran::No,
+            QStringLiteral("this daemon is shutting down; retry the request on another one"),
+            {},
+            {}};
     if (!m_configuration)
         return Error{ErrorKind::NotReady,
                      Ran::No,
-                     QStringLiteral("no configuration has reached this daemon yet"),
+                     QStringLiteral("this daemon has not received a configuration yet"),
                      {},
                      {}};
     return m_keys->authenticate(request);
@@ -242,7 +245,7 @@
     if (const auto sink = link.sink.lock())
         sink->failed({ErrorKind::ReaderTooSlow,
                       Ran::Yes,
-                      QStringLiteral("the answer was not read as fast as it was generated"),
+                      QStringLiteral("the caller read the answer too slowly"),
                       {},
                       {}});
     detach(link);
@@ -261,11 +264,12 @@
         m_attachClient->follow(held, request.generation, sink);
         return;
     }
-    sink->failed({ErrorKind::OutcomeUnknown,
-                  Ran::Maybe,
-                  QStringLiteral("an earlier request holds this key and its answer is not at hand"),
-                  {},
-                  {}});
+    sink->failed(
+        {ErrorKind::OutcomeUnknown,
+         Ran::Maybe,
+         QStringLiteral("an earlier request used this key and its answer is not available"),
+         {},
+         {}});
 }
 
 void Gateway::callPlain(const PlainRequest &request, const Responder &responder)
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -1,4 +1,3 @@
-// Defines Gateway, which takes callers' requests and starts what answers them.
 #pragma once
 
 #include "base/Ids.h"
@@ -27,12 +26,13 @@
 struct HttpRequest;
 struct PlainRequest;
 
-/// Routes HTTP requests of callers. Operators' paths are offered to a handler first.
+/// Routes HTTP requests of callers and starts the runs that answer them. Requests other than
+/// those for health and metrics are offered to the operator handler first.
 /// Thread safety: only from the thread of the server; parsing runs on the worker pool.
 class Gateway : public QObject
 {
 public:
-    /// Handles a request of its own paths, or returns false.
+    /// Handles the request and returns true, or returns false if the path is not its own.
     using PathHandler = std::function<bool(const HttpRequest &request,
                                            const std::shared_ptr<HttpResponder> &responder)>;
 
@@ -42,22 +42,23 @@
 
     void handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
 
-    /// Requests from now on are admitted under @p configuration; those under way keep theirs.
+    /// Admits later requests under @p configuration; running requests keep the configuration that
+    /// they were admitted under.
     void setConfiguration(const std::shared_ptr<const Configuration> &configuration);
     void setOperatorHandler(PathHandler handler) { m_operatorHandler = std::move(handler); }
-    /// @p text gives further lines for /metrics.
+    /// Appends the lines that @p text returns to /metrics.
     void setMetricsSource(std::function<QByteArray()> text) { m_metricsSource = std::move(text); }
 
-    /// Requests whose key another daemon holds are answered through @p attached, which outlives
-    /// the gateway.
+    /// Answers requests whose key another daemon holds through @p attached. Precondition:
+    /// @p attached outlives the gateway.
     void setAttachClient(AttachClient *attached) { m_attachClient = attached; }
 
-    /// /readyz says no from now on; requests are still served.
+    /// Makes /readyz report "not ready" from now on. Requests are still served.
     void announceDrain() { m_isDrainAnnounced = true; }
-    /// Requests from now on are refused with ErrorKind::Draining.
+    /// Refuses all later requests with ErrorKind::Draining.
     void refuseNewRequests() { m_refusesNewRequests = true; }
     bool isReady() const { return m_configuration != nullptr && !m_isDrainAnnounced; }
-    /// Requests that are not answered yet.
+    /// Number of requests that are not answered yet.
     int pending() const;
 
     const AnswerMetrics &metrics() const { return m_metrics; }
@@ -71,7 +72,7 @@
     void listModels(const WorkspaceId &workspace, const Responder &responder);
     void parseAndRun(const HttpRequest &request, const WorkspaceId &workspace,
                      CompletionShape shape, const Responder &responder);
-    /// Which run answers which caller. Neither is kept alive by it: the run holds its sinks.
+    /// Connects a caller to its run. The pointers are weak because the run owns its sinks.
     struct CallerLink {
         std::weak_ptr<GenerationRun> run;
         std::weak_ptr<AnswerSink> sink;
--- a/src/gateway/MetricsText.h
+++ b/src/gateway/MetricsText.h
@@ -1,4 +1,3 @@
-// Defines the text of /metrics for what callers experienced.
 #pragma once
 
 #include <QByteArray>
@@ -8,13 +7,14 @@
 struct AnswerMetrics;
 struct DeliveryCounters;
 
-/// One gauge in Prometheus' text format. Thread-safe.
+/// One gauge in the Prometheus text format. Thread-safe.
 QByteArray gaugeText(const QByteArray &name, qint64 value);
 
-/// One counter in Prometheus' text format. Thread-safe.
+/// One counter in the Prometheus text format. Thread-safe.
 QByteArray counterText(const QByteArray &name, qint64 value);
 
-/// The answers' and deliveries' metrics. Thread-safe.
+/// The metrics of answers and delivery in the text format of /metrics; @p running is the number
+/// of runs. Thread-safe.
 QByteArray metricsText(const AnswerMetrics &answers, const DeliveryCounters &delivery, int running);
 
 } // namespace cranberry
--- a/src/gateway/OperatorApi.cpp
+++ b/src/gateway/OperatorApi.cpp
@@ -23,7 +23,7 @@
 const QByteArray ValidatePath = "/v1/configuration/validate";
 const QByteArray StatusPath = "/v1/status";
 const QByteArray BearerScheme = "Bearer ";
-/// What a refused operator is shown of the changes that came in between.
+/// Limit on the size of the changes that are listed in the answer to a version conflict.
 constexpr qsizetype MaxConflictChangesBytes = 256 * 1024;
 
 QByteArray tokenHash(const QByteArray &token)
@@ -62,9 +62,10 @@
     QJsonParseError fault;
     const QJsonDocument document = QJsonDocument::fromJson(body, &fault);
     if (fault.error != QJsonParseError::NoError) {
-        return error(
-            ErrorKind::BadRequest,
-            QStringLiteral("not JSON at byte %1: %2").arg(fault.offset).arg(fault.errorString()));
+        return error(ErrorKind::BadRequest,
+                     QStringLiteral("invalid JSON at byte %1: %2")
+                         .arg(fault.offset)
+                         .arg(fault.errorString()));
     }
     if (!document.isObject())
         return error(ErrorKind::BadRequest, QStringLiteral("expected a JSON object"));
@@ -79,7 +80,7 @@
     return list;
 }
 
-/// The answer for @p error with @p extra members in its body.
+/// The response for @p error with the members of @p extra added to its body.
 HttpResponse problemResponseWith(const Error &error, const QJsonObject &extra)
 {
     HttpResponse response = problemResponse(error);
@@ -95,7 +96,7 @@
     return jsonResponse(200, QJsonDocument(object).toJson(QJsonDocument::Compact));
 }
 
-/// The changes after @p version as far as they are known and small enough to show.
+/// The changes after @p version; empty if they are unknown or exceed the size limit.
 QJsonArray changesSince(const ConfigurationStore &store, ConfigurationVersion version)
 {
     QJsonArray list;
@@ -159,7 +160,7 @@
         handleConfiguration(request, responder);
     else
         responder->send(problemResponse(
-            error(ErrorKind::BadRequest, QStringLiteral("the path does not have this method"))));
+            error(ErrorKind::BadRequest, QStringLiteral("the path does not support this method"))));
     return true;
 }
 
@@ -168,8 +169,8 @@
     const QByteArray header = request.headers.value("Authorization");
     if (m_tokenHash.isEmpty() || !header.startsWith(BearerScheme))
         return false;
-    // Hashes of one length, compared in constant time: the time of a refusal must not tell how
-    // much of a guessed token was right.
+    // Hashes of equal length are compared in constant time, so that the response time does not
+    // reveal how much of a guessed token is correct.
     const QByteArray given = tokenHash(header.mid(BearerScheme.size()));
     return given.size() == m_tokenHash.size()
         && CRYPTO_memcmp(given.constData(), m_tokenHash.constData(), size_t(given.size())) == 0;
@@ -189,8 +190,9 @@
 void OperatorApi::show(const Responder &responder)
 {
     if (!m_store.current()) {
-        responder->send(problemResponse(error(
-            ErrorKind::NotReady, QStringLiteral("no configuration has reached this daemon yet"))));
+        responder->send(problemResponse(
+            error(ErrorKind::NotReady,
+                  QStringLiteral("this daemon has not received a configuration yet"))));
         return;
     }
     HttpResponse response = objectResponse(m_store.document());
@@ -206,8 +208,8 @@
     if (!expected) {
         responder->send(problemResponse(
             error(ErrorKind::BadHeader,
-                  QStringLiteral("expected If-Match with the version that the document was made "
-                                 "from, as the ETag of GET gives it"),
+                  QStringLiteral("expected If-Match with the version that the document is based "
+                                 "on, as returned in the ETag of GET"),
                   QStringLiteral("If-Match"))));
         return;
     }
@@ -244,7 +246,8 @@
     }
     case SubmitOutcome::VersionConflict: {
         const QString detail =
-            QStringLiteral("the present version is %1, not %2: take it over and submit again")
+            QStringLiteral(
+                "the current version is %1, not %2: rebase the change and submit it again")
                 .arg(result.version.value())
                 .arg(expected.value());
         QJsonObject extra = version;
@@ -264,13 +267,13 @@
     case SubmitOutcome::PlatformUnavailable:
         responder->send(problemResponse(
             error(ErrorKind::PlatformUnavailable,
-                  QStringLiteral("the platform's service does not answer; nothing was changed"))));
+                  QStringLiteral("the platform service does not respond; nothing was changed"))));
         return;
     case SubmitOutcome::Unsettled: {
         Error unsettled = error(
             ErrorKind::OutcomeUnknown,
-            QStringLiteral("the platform's service stopped answering: the change may be accepted; "
-                           "read the configuration once it answers again"));
+            QStringLiteral("the platform service stopped responding: the change may have been "
+                           "accepted; read the configuration when it responds again"));
         unsettled.ran = Ran::Maybe;
         responder->send(problemResponseWith(unsettled, {{"change_id", result.change.text()}}));
         return;
--- a/src/gateway/OperatorApi.h
+++ b/src/gateway/OperatorApi.h
@@ -1,4 +1,3 @@
-// Defines OperatorApi, the paths by which operators read and change the configuration.
 #pragma once
 
 #include "base/Ids.h"
@@ -21,18 +20,20 @@
 struct HttpRequest;
 struct SubmitResult;
 
-/// Serves /v1/configuration, /v1/configuration/validate and /v1/status to whoever has the
-/// operator token, and the console's files, which hold no secret, to everyone.
+/// The HTTP API by which operators read and change the configuration. Serves /v1/configuration,
+/// /v1/configuration/validate and /v1/status to requests with the operator token, and the files
+/// of the console, which contain no secrets, without authentication.
 /// Thread safety: only from the thread of the server.
 class OperatorApi : public QObject
 {
 public:
-    /// Precondition: @p store and @p workers outlive the object; an empty token admits nobody.
+    /// An empty @p token refuses every request that needs one. Precondition: @p store and
+    /// @p workers outlive the object.
     OperatorApi(VmId self, const QByteArray &token, ConfigurationStore &store, WorkerPool &workers,
                 OperatorStatus status);
     ~OperatorApi() override;
 
-    /// Answers @p request, now or later, or returns false if the path is not its own.
+    /// Answers @p request, possibly after returning, or returns false if the path is not its own.
     bool handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
 
 private:
--- a/src/gateway/OperatorStatus.h
+++ b/src/gateway/OperatorStatus.h
@@ -1,4 +1,3 @@
-// Defines OperatorStatus, where the operators' status page takes its parts from.
 #pragma once
 
 #include <QJsonArray>
@@ -7,12 +6,12 @@
 
 namespace cranberry {
 
-/// Each member gives one part of GET /v1/status; one that is empty gives an empty part.
-/// Precondition: called in the thread of the server only.
+/// Sources of the parts of GET /v1/status. The part of an empty function is empty.
+/// Thread safety: called only in the thread of the server.
 struct OperatorStatus {
     std::function<bool()> ready;
-    /// Objects with "vm", "data_centre", "state", "configuration_version", and the gateway's
-    /// "url" if it is known.
+    /// Objects with "vm", "data_centre", "state", "configuration_version" and, if known, the
+    /// gateway's "url".
     std::function<QJsonArray()> members;
     /// Objects with "target", "service", "resident_tokens", "capacity_tokens", "running",
     /// "waiting", "leaving", "dead".
--- a/src/gateway/PlainCall.cpp
+++ b/src/gateway/PlainCall.cpp
@@ -16,7 +16,7 @@
 
 const QByteArray ServicePathPrefix = "/services/";
 
-/// Headers that belong to one connection, or that say who the caller is.
+/// Headers that apply to a single connection or identify the caller.
 const QSet<QByteArray> HeadersNotForwarded = {
     "authorization", "connection", "content-length", "host",    "transfer-encoding", "expect",
     "keep-alive",    "te",         "trailer",        "upgrade", "cranberry-attempt"};
@@ -25,7 +25,7 @@
 {
     return {ErrorKind::UnknownService,
             Ran::No,
-            QStringLiteral("service \"%1\" is not one that this workspace can use")
+            QStringLiteral("service \"%1\" does not exist or is not available to this workspace")
                 .arg(QString::fromUtf8(name.left(80))),
             QStringLiteral("path"),
             {}};
@@ -54,7 +54,7 @@
     return hash.result();
 }
 
-/// Methods that HTTP itself lets a client send again.
+/// Whether HTTP allows a client to repeat a request with @p method.
 bool isIdempotentMethod(const QByteArray &method)
 {
     return method != "POST" && method != "PATCH";
--- a/src/gateway/PlainCall.h
+++ b/src/gateway/PlainCall.h
@@ -1,4 +1,3 @@
-// Defines how a caller's call of a plain service is read and checked.
 #pragma once
 
 #include "base/Result.h"
@@ -8,8 +7,9 @@
 
 struct ArrivalTime;
 
-/// Reads "/services/NAME/REST"; REST goes to the target with method, query and body.
-/// The caller's key does not. Errors name the header or path at fault. Thread-safe.
+/// Parses and checks a call of "/services/NAME/REST". REST is forwarded to the target with
+/// method, query, body and headers, but without the caller's API key. Errors state the invalid
+/// header or path. Thread-safe.
 Result<PlainRequest> parsePlainCall(const HttpRequest &request, const WorkspaceId &workspace,
                                     const std::shared_ptr<const Configuration> &configuration,
                                     const ArrivalTime &arrival);
--- a/src/gateway/ProblemResponse.h
+++ b/src/gateway/ProblemResponse.h
@@ -1,4 +1,3 @@
-// Defines how an Error is answered over HTTP.
 #pragma once
 
 #include "http/HttpResponse.h"
@@ -7,7 +6,8 @@
 
 struct Error;
 
-/// The application/problem+json answer for @p error, with Cranberry-Ran and Retry-After.
+/// The application/problem+json response for @p error, with the headers Cranberry-Ran and, if the
+/// error has a retry delay, Retry-After.
 /// Thread-safe.
 HttpResponse problemResponse(const Error &error);
 
--- a/src/gateway/WorkspaceKeys.cpp
+++ b/src/gateway/WorkspaceKeys.cpp
@@ -33,13 +33,13 @@
     if (!header.startsWith(BearerScheme))
         return unauthorized(
             QStringLiteral("send the workspace's key as \"Authorization: Bearer KEY\""));
-    // Only the hash is compared, so the time taken says nothing about a key.
+    // Only hashes are compared, so the response time reveals nothing about a key.
     const QByteArray hash =
         QCryptographicHash::hash(header.mid(BearerScheme.size()), QCryptographicHash::Sha256)
             .toHex();
     const auto found = m_byHash.constFind(hash);
     if (found == m_byHash.constEnd())
-        return unauthorized(QStringLiteral("the key is not one of any workspace"));
+        return unauthorized(QStringLiteral("the key does not belong to any workspace"));
     return found.value();
 }
 
--- a/src/gateway/WorkspaceKeys.h
+++ b/src/gateway/WorkspaceKeys.h
@@ -1,4 +1,3 @@
-// Defines WorkspaceKeys, the way from a caller's key to its workspace.
 #pragma once
 
 #include "base/Ids.h"
@@ -11,14 +10,15 @@
 struct Configuration;
 struct HttpRequest;
 
-/// Index of one configuration's key hashes.
+/// Finds the workspace of a caller's API key by the key hashes of one configuration.
 /// Thread safety: immutable after construction, so thread-safe.
 class WorkspaceKeys
 {
 public:
     explicit WorkspaceKeys(const Configuration &configuration);
 
-    /// The workspace whose key the Authorization header carries. Error Unauthorized.
+    /// Returns the workspace whose key the Authorization header contains. Error Unauthorized: the
+    /// header contains no key of any workspace.
     Result<WorkspaceId> authenticate(const HttpRequest &request) const;
 
 private:
--- a/test/correctness/Ctl.cpp
+++ b/test/correctness/Ctl.cpp
@@ -69,7 +69,7 @@
     BOOST_REQUIRE(ctl({"apply", documentFile(3)}).exitCode == 0);
     const CtlRun late = ctl({"apply", documentFile(4), "--expected_version", "0"});
     BOOST_TEST(late.exitCode == 4);
-    BOOST_TEST(late.errors.contains("present version is 1"));
+    BOOST_TEST(late.errors.contains("current version is 1"));
     BOOST_TEST(late.output.contains("max_tokens"));
 }
 
