--- a/src/delivery/GenerationRun.cpp
+++ b/src/delivery/GenerationRun.cpp
@@ -102,7 +102,7 @@
     admission.placement.promptTokens = m_request.promptTokens;
     admission.placement.maxTokens = m_request.maxTokens;
     admission.placement.prefixHash = m_request.prefixHash;
-    admission.placement.excluded = m_excluded;
+    admission.placement.excluded = m_excludedTargets;
     admission.attempt = m_attempt;
     admission.deadline = m_request.deadline;
     admission.priority = m_request.priority;
--- a/src/delivery/GenerationRun.h
+++ b/src/delivery/GenerationRun.h
@@ -82,7 +82,7 @@
     /// A stream with a number by which a callback identifies the stream it belongs to.
     struct NumberedStream {
         quint64 number = 0;
-        /// The stream resumes a generation that an earlier send has started.
+        /// Whether the stream resumes the generation of an earlier send.
         bool isResume = false;
         std::unique_ptr<TargetStream> stream;
     };
@@ -101,8 +101,8 @@
     void cancelAnswered(CancelOutcome outcome, SendFailure failure, int status,
                         const QString &reason);
     void retryOnOtherTarget(SendFailure failure, const QString &reason);
-    void giveUp(SendFailure failure, const QString &reason);
-    void giveUpAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason);
+    void failAfter(SendFailure failure, const QString &reason);
+    void failAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason);
     void startStallTimer();
     void startStallTimer(Milliseconds silence);
     void openParallelResume();
@@ -128,7 +128,7 @@
     TargetId m_target;
     HttpEndpoint m_endpoint;
     Incarnation m_incarnation;
-    QSet<TargetId> m_excluded;
+    QSet<TargetId> m_excludedTargets;
     TokenSequence m_sequence;
     quint64 m_streamCount = 0;
     NumberedStream m_stream;
--- a/src/delivery/GenerationRunFailures.cpp
+++ b/src/delivery/GenerationRunFailures.cpp
@@ -44,8 +44,8 @@
     m_stream = {};
     m_stallTimer.reset();
     if (status == StatusNotFound && m_sequence.next > 0) {
-        giveUp(SendFailure::BrokenAfterStart,
-               QStringLiteral("the target no longer has the generation"));
+        failAfter(SendFailure::BrokenAfterStart,
+                  QStringLiteral("the target no longer has the generation"));
         return;
     }
     handleSendFailure(failure.value_or(SendFailure::BrokenAfterStart), status, isResume, reason);
@@ -61,7 +61,7 @@
     }
     const QString reason = QStringLiteral("the target does not know the generation");
     if (m_sequence.next > 0) {
-        giveUp(SendFailure::BrokenAfterStart, reason);
+        failAfter(SendFailure::BrokenAfterStart, reason);
         return;
     }
     // The request was lost on a stalled connection, or the target has restarted since. The
@@ -82,8 +82,8 @@
               {"failure", QLatin1String(sendFailureName(failure))},
               {"reason", reason}});
     // A failed resume does not show whether the preceding send has started.
-    const bool mayHaveBegun = m_answerBegan || m_sequence.next > 0 || isResume;
-    const bool neverStarted = ranAfter(failure) == Ran::No && !mayHaveBegun;
+    const bool mayHaveStarted = m_answerBegan || m_sequence.next > 0 || isResume;
+    const bool neverStarted = ranAfter(failure) == Ran::No && !mayHaveStarted;
     if (neverStarted) {
         retryOnOtherTarget(failure, reason);
         return;
@@ -95,7 +95,7 @@
         return;
     }
     if (m_sequence.next > 0) {
-        giveUp(SendFailure::BrokenAfterStart, reason);
+        failAfter(SendFailure::BrokenAfterStart, reason);
         return;
     }
     cancelAndResolve(failure, status, reason);
@@ -127,7 +127,7 @@
     m_parallelResume = {};
     m_stallTimer.reset();
     if (m_sequence.next > 0)
-        giveUp(SendFailure::BrokenAfterStart, reason);
+        failAfter(SendFailure::BrokenAfterStart, reason);
     else
         cancelAndResolve(SendFailure::BrokenBeforeAnswer, 0, reason);
 }
@@ -151,7 +151,7 @@
     if (failure == SendFailure::ErrorAnswer && isInvalidRequestStatus(status)) {
         // Every other target would reject this request as well.
         const Ran ran = outcome == CancelOutcome::NotStarted ? Ran::No : ranAfter(failure);
-        giveUpAs(ErrorKind::TargetRefused, ran, failure, reason);
+        failAs(ErrorKind::TargetRefused, ran, failure, reason);
         return;
     }
     if (outcome == CancelOutcome::NotStarted) {
@@ -168,7 +168,7 @@
     m_isTargetUnreachable =
         outcome == CancelOutcome::NoAnswer && failure == SendFailure::NotConnected;
     if (m_request.atMostOnce)
-        giveUp(reported, reason);
+        failAfter(reported, reason);
     else
         retryOnOtherTarget(reported, reason);
 }
@@ -183,32 +183,32 @@
     // only once per target, since the target is excluded from now on.
     const bool skipsRetryBudget = failure == SendFailure::NotConnected || m_isTargetUnreachable;
     if (!skipsRetryBudget && !m_context.targets.takeRetry(m_request.workspace, failedTarget)) {
-        giveUp(failure, reason);
+        failAfter(failure, reason);
         return;
     }
     ++m_context.counters.retries;
     logEvent(LogLevel::Info, EventId::AttemptRetried,
              {{"request", m_request.id.text()}, {"after", failedTarget.text()}});
-    m_excluded.insert(failedTarget);
+    m_excludedTargets.insert(failedTarget);
     m_isRetry = true;
     acquireTarget();
 }
 
-void GenerationRun::giveUp(SendFailure failure, const QString &reason)
+void GenerationRun::failAfter(SendFailure failure, const QString &reason)
 {
     if (m_sequence.next > 0) {
         ++m_context.counters.generationsLost;
-        giveUpAs(ErrorKind::GenerationLost, Ran::Yes, failure, reason);
+        failAs(ErrorKind::GenerationLost, Ran::Yes, failure, reason);
         return;
     }
     const Ran ran = ranAfter(failure);
     ErrorKind kind = ran == Ran::No ? ErrorKind::NoTarget : ErrorKind::TargetFailed;
     if (failure == SendFailure::ErrorAnswer)
         kind = ErrorKind::TargetRefused;
-    giveUpAs(kind, ran, failure, reason);
+    failAs(kind, ran, failure, reason);
 }
 
-void GenerationRun::giveUpAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason)
+void GenerationRun::failAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason)
 {
     Error error;
     error.kind = kind;
--- a/src/delivery/PlainRun.cpp
+++ b/src/delivery/PlainRun.cpp
@@ -47,7 +47,7 @@
     admission.placement.request = m_request.id;
     admission.placement.service = m_request.service;
     admission.placement.workspace = m_request.workspace;
-    admission.placement.excluded = m_excluded;
+    admission.placement.excluded = m_excludedTargets;
     admission.attempt = m_attempt;
     admission.deadline = m_request.deadline;
     admission.retry = m_isRetry;
@@ -155,7 +155,7 @@
     if (mayRunAgain
         && (skipsRetryBudget || m_context.targets.takeRetry(m_request.workspace, failedTarget))) {
         ++m_context.counters.retries;
-        m_excluded.insert(failedTarget);
+        m_excludedTargets.insert(failedTarget);
         m_isRetry = true;
         acquireTarget();
         return;
--- a/src/delivery/PlainRun.h
+++ b/src/delivery/PlainRun.h
@@ -55,7 +55,7 @@
     AttemptId m_attempt;
     TargetId m_target;
     HttpEndpoint m_endpoint;
-    QSet<TargetId> m_excluded;
+    QSet<TargetId> m_excludedTargets;
     std::unique_ptr<HttpExchange> m_exchange;
     std::unique_ptr<TimerSubscription> m_deadlineTimer;
     Ran m_ranInEarlierAttempts = Ran::No;
--- a/src/delivery/ServerSentEvents.cpp
+++ b/src/delivery/ServerSentEvents.cpp
@@ -38,13 +38,13 @@
 /// Position and length of the first blank line; the length is 0 if there is none.
 QPair<qsizetype, qsizetype> firstBlankLine(const QByteArray &bytes)
 {
-    const qsizetype plain = bytes.indexOf("\n\n");
-    const qsizetype carriage = bytes.indexOf("\n\r\n");
-    if (plain < 0 && carriage < 0)
+    const qsizetype lf = bytes.indexOf("\n\n");
+    const qsizetype crlf = bytes.indexOf("\n\r\n");
+    if (lf < 0 && crlf < 0)
         return {0, 0};
-    if (carriage < 0 || (plain >= 0 && plain < carriage))
-        return {plain, 2};
-    return {carriage, 3};
+    if (crlf < 0 || (lf >= 0 && lf < crlf))
+        return {lf, 2};
+    return {crlf, 3};
 }
 
 } // namespace
--- a/src/gateway/CompletionRequest.cpp
+++ b/src/gateway/CompletionRequest.cpp
@@ -44,14 +44,14 @@
 
 Result<QJsonObject> parseBody(const QByteArray &body)
 {
-    QJsonParseError fault;
-    const QJsonDocument document = QJsonDocument::fromJson(body, &fault);
-    if (fault.error != QJsonParseError::NoError)
+    QJsonParseError parseError;
+    const QJsonDocument document = QJsonDocument::fromJson(body, &parseError);
+    if (parseError.error != QJsonParseError::NoError)
         return Error{ErrorKind::BadRequest,
                      Ran::No,
                      QStringLiteral("body: invalid JSON at byte %1: %2")
-                         .arg(fault.offset)
-                         .arg(fault.errorString()),
+                         .arg(parseError.offset)
+                         .arg(parseError.errorString()),
                      QStringLiteral("body"),
                      {}};
     if (!document.isObject())
@@ -109,9 +109,10 @@
     if (!name.isString())
         return badMember(ModelMember, QStringLiteral("a string"), name);
     const auto model = configuration.models.constFind(ModelId(name.toString()));
-    const auto owner = configuration.workspaces.constFind(workspace);
+    const auto workspaceSettings = configuration.workspaces.constFind(workspace);
     const bool known = model != configuration.models.constEnd()
-        && owner != configuration.workspaces.constEnd() && owner->services.contains(model->service);
+        && workspaceSettings != configuration.workspaces.constEnd()
+        && workspaceSettings->services.contains(model->service);
     // A model of a service that the workspace may not use is reported as unknown, so that a
     // caller cannot probe for names.
     if (!known)
@@ -143,10 +144,10 @@
 }
 
 /// The request body for the target: always streamed and with an explicit token limit.
-QByteArray targetBody(QJsonObject body, Tokens bound)
+QByteArray targetBody(QJsonObject body, Tokens tokenLimit)
 {
     body.insert(StreamMember, true);
-    body.insert(MaxTokensMember, bound.value());
+    body.insert(MaxTokensMember, tokenLimit.value());
     return QJsonDocument(body).toJson(QJsonDocument::Compact);
 }
 
@@ -182,7 +183,7 @@
     BOOST_OUTCOME_TRY(body, parseBody(request.body));
     BOOST_OUTCOME_TRY(model, permittedModel(body, workspace, *configuration));
     BOOST_OUTCOME_TRY(text, promptText(body, shape));
-    BOOST_OUTCOME_TRY(bound, maxTokens(body, model.maxTokens));
+    BOOST_OUTCOME_TRY(tokenLimit, maxTokens(body, model.maxTokens));
     const QJsonValue stream = body.value(StreamMember);
     if (!stream.isUndefined() && !stream.isBool())
         return badMember(StreamMember, QStringLiteral("true or false"), stream);
@@ -198,7 +199,7 @@
     generation.configuration = configuration;
     generation.path = request.path;
     generation.promptTokens = Tokens(text.toUtf8().size() / BytesPerToken + 1);
-    generation.maxTokens = bound;
+    generation.maxTokens = tokenLimit;
     generation.cacheSalt =
         sha256({workspace.text().toUtf8(), model.service.text().toUtf8()}).toHex().left(32);
     generation.prefixHash = prefixHashOf(generation.cacheSalt, text);
@@ -208,7 +209,7 @@
     body.remove(StreamMember);
     generation.fingerprint =
         sha256({request.path, QJsonDocument(body).toJson(QJsonDocument::Compact)});
-    generation.body = targetBody(body, bound);
+    generation.body = targetBody(body, tokenLimit);
     generation.crashFingerprint = requestFingerprint(workspace, request.path, generation.body);
     return result;
 }
--- a/src/gateway/OperatorApi.cpp
+++ b/src/gateway/OperatorApi.cpp
@@ -59,13 +59,13 @@
 
 Result<QJsonObject> parseDocument(const QByteArray &body)
 {
-    QJsonParseError fault;
-    const QJsonDocument document = QJsonDocument::fromJson(body, &fault);
-    if (fault.error != QJsonParseError::NoError) {
+    QJsonParseError parseError;
+    const QJsonDocument document = QJsonDocument::fromJson(body, &parseError);
+    if (parseError.error != QJsonParseError::NoError) {
         return error(ErrorKind::BadRequest,
                      QStringLiteral("invalid JSON at byte %1: %2")
-                         .arg(fault.offset)
-                         .arg(fault.errorString()));
+                         .arg(parseError.offset)
+                         .arg(parseError.errorString()));
     }
     if (!document.isObject())
         return error(ErrorKind::BadRequest, QStringLiteral("expected a JSON object"));
@@ -139,9 +139,9 @@
         responder->send(*page);
         return true;
     }
-    const bool isOwn = request.path == ConfigurationPath || request.path == ValidatePath
+    const bool isOwnPath = request.path == ConfigurationPath || request.path == ValidatePath
         || request.path == StatusPath;
-    if (!isOwn)
+    if (!isOwnPath)
         return false;
     if (!isAuthorized(request)) {
         HttpResponse refusal = problemResponse(
@@ -171,9 +171,10 @@
         return false;
     // Hashes of equal length are compared in constant time, so that the response time does not
     // reveal how much of a guessed token is correct.
-    const QByteArray given = tokenHash(header.mid(BearerScheme.size()));
-    return given.size() == m_tokenHash.size()
-        && CRYPTO_memcmp(given.constData(), m_tokenHash.constData(), size_t(given.size())) == 0;
+    const QByteArray givenHash = tokenHash(header.mid(BearerScheme.size()));
+    return givenHash.size() == m_tokenHash.size()
+        && CRYPTO_memcmp(givenHash.constData(), m_tokenHash.constData(), size_t(givenHash.size()))
+        == 0;
 }
 
 void OperatorApi::handleConfiguration(const HttpRequest &request, const Responder &responder)
--- a/src/gateway/PlainCall.cpp
+++ b/src/gateway/PlainCall.cpp
@@ -72,10 +72,11 @@
     const QByteArray name = slash < 0 ? rest : rest.left(slash);
     const ServiceId id(QUrl::fromPercentEncoding(name));
     const auto service = configuration->services.constFind(id);
-    const auto owner = configuration->workspaces.constFind(workspace);
+    const auto workspaceSettings = configuration->workspaces.constFind(workspace);
     const bool known = service != configuration->services.constEnd()
-        && service->kind == ServiceKind::Plain && owner != configuration->workspaces.constEnd()
-        && owner->services.contains(id);
+        && service->kind == ServiceKind::Plain
+        && workspaceSettings != configuration->workspaces.constEnd()
+        && workspaceSettings->services.contains(id);
     if (!known)
         return unknownService(name);
 
@@ -86,8 +87,8 @@
     result.configuration = configuration;
     result.upstream = upstreamRequest(request, slash < 0 ? QByteArray("/") : rest.mid(slash));
     result.deadline = arrival.monotonic + headers.deadline.value_or(service->defaultDeadline);
-    const bool byDefault = service->atMostOnce && !isIdempotentMethod(request.method);
-    result.atMostOnce = headers.atMostOnce.value_or(byDefault);
+    const bool atMostOnceByDefault = service->atMostOnce && !isIdempotentMethod(request.method);
+    result.atMostOnce = headers.atMostOnce.value_or(atMostOnceByDefault);
     if (result.atMostOnce) {
         BOOST_OUTCOME_TRY(checkAtMostOnceKey(headers.idempotencyKey, arrival));
     }
