--- a/src/claims/ClaimStore.h
+++ b/src/claims/ClaimStore.h
@@ -3,7 +3,7 @@
 
 #include "claims/ClaimCounts.h"
 #include "claims/ClaimSettings.h"
-#include "delivery/ClaimGate.h"
+#include "delivery/ClaimService.h"
 
 #include <functional>
 #include <map>
--- a/src/delivery/AttachHolder.cpp
+++ b/src/delivery/AttachServer.cpp
@@ -1,4 +1,4 @@
-#include "delivery/AttachHolder.h"
+#include "delivery/AttachServer.h"
 
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
--- a/src/delivery/GenerationRun.cpp
+++ b/src/delivery/GenerationRun.cpp
@@ -4,7 +4,7 @@
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
 #include "delivery/AnswerSink.h"
-#include "delivery/ClaimGate.h"
+#include "delivery/ClaimService.h"
 #include "delivery/DeliveryContext.h"
 #include "delivery/TargetCancels.h"
 #include "delivery/TargetDemand.h"
--- a/src/delivery/PlainRun.cpp
+++ b/src/delivery/PlainRun.cpp
@@ -3,7 +3,7 @@
 #include "base/EventLog.h"
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
-#include "delivery/ClaimGate.h"
+#include "delivery/ClaimService.h"
 #include "delivery/DeliveryContext.h"
 #include "delivery/TargetDemand.h"
 #include "http/HttpClient.h"
--- a/src/delivery/RequestClaim.h
+++ b/src/delivery/RequestClaim.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "delivery/ClaimGate.h"
+#include "delivery/ClaimService.h"
 
 #include <memory>
 
--- a/src/delivery/ServerSentEvents.cpp
+++ b/src/delivery/ServerSentEventParser.cpp
@@ -1,4 +1,4 @@
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 
 #include <utility>
 
--- a/src/delivery/TargetStream.h
+++ b/src/delivery/TargetStream.h
@@ -2,7 +2,7 @@
 
 #include "base/Ids.h"
 #include "delivery/SendFailure.h"
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 #include "delivery/TokenEvent.h"
 #include "http/HttpEndpoint.h"
 
--- a/src/delivery/TokenEvent.cpp
+++ b/src/delivery/TokenEvent.cpp
@@ -1,6 +1,6 @@
 #include "delivery/TokenEvent.h"
 
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 
 #include <QJsonArray>
 #include <QJsonDocument>
--- a/src/relay/RelayAttempt.h
+++ b/src/relay/RelayAttempt.h
@@ -1,7 +1,7 @@
 // Defines RelayAttempt, one request at one target and its answer as it comes.
 #pragma once
 
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 #include "http/HttpExchange.h"
 #include "relay/SendResult.h"
 
--- a/test/correctness/EventStream.cpp
+++ b/test/correctness/EventStream.cpp
@@ -2,7 +2,7 @@
 #define BOOST_TEST_MODULE EventStream
 #include <boost/test/unit_test.hpp>
 
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 #include "delivery/TokenEvent.h"
 
 using namespace cranberry;
--- a/test/failure/AttachMessagesLost.cpp
+++ b/test/failure/AttachMessagesLost.cpp
@@ -4,9 +4,9 @@
 
 #include "base/TimerSubscription.h"
 #include "delivery/AnswerSink.h"
+#include "delivery/AttachClient.h"
 #include "delivery/AttachMessages.h"
-#include "delivery/AttachedAnswers.h"
-#include "delivery/ClaimGate.h"
+#include "delivery/ClaimService.h"
 #include "delivery/GenerationRequest.h"
 #include "delivery/TokenEvent.h"
 #include "peer/PeerNetwork.h"
--- a/test/failure/ResumeNeverConnects.cpp
+++ b/test/failure/ResumeNeverConnects.cpp
@@ -5,7 +5,7 @@
 #include "base/QtTimerService.h"
 #include "base/TimerSubscription.h"
 #include "delivery/AnswerSink.h"
-#include "delivery/ClaimGate.h"
+#include "delivery/ClaimService.h"
 #include "delivery/DeliveryContext.h"
 #include "delivery/GenerationRun.h"
 #include "delivery/TargetCancels.h"
