--- a/src/delivery/DeliveryContext.h
+++ b/src/delivery/DeliveryContext.h
@@ -1,17 +1,16 @@
-// Defines DeliveryContext, the collaborators that every run shares.
 #pragma once
 
 #include "delivery/StallThreshold.h"
 
 namespace cranberry {
 
-class ClaimGate;
+class ClaimService;
 class HttpClient;
 class TargetCancels;
 class TargetSource;
 class TimerService;
 
-/// Counts of what delivery met, for the metrics. Only grow.
+/// Monotonic event counters of delivery, for the metrics.
 struct DeliveryCounters {
     qint64 tokensDelivered = 0;
     qint64 tokensDropped = 0;
@@ -21,13 +20,14 @@
     qint64 generationsLost = 0;
 };
 
-/// All references outlive every run.
+/// The services, limits and statistics that all runs share.
+/// Precondition: the referenced objects outlive every run.
 struct DeliveryContext {
     HttpClient &client;
     TimerService &timers;
     TargetSource &targets;
     TargetCancels &cancels;
-    ClaimGate &claims;
+    ClaimService &claims;
     StallLimits stallLimits;
     GapStatistics gaps;
     DeliveryCounters counters;
--- a/src/delivery/GenerationRun.h
+++ b/src/delivery/GenerationRun.h
@@ -1,4 +1,3 @@
-// Defines GenerationRun, which carries one request for a generation to its end.
 #pragma once
 
 #include "base/Error.h"
@@ -26,126 +25,130 @@
 struct ClaimDecision;
 struct DeliveryContext;
 
-/// Finds a target, claims if the request runs at most once, sends, resumes, retries where
-/// that is safe, and hands the one chosen generation to its sinks.
-/// Thread safety: only from the thread of the event loop.
+/// Runs one generation request to its end: acquires a target, acquires a claim if the request
+/// runs at most once, sends the request, resumes a broken stream, retries on another target
+/// where that is safe, and delivers the events of exactly one generation to its sinks. What
+/// follows after a failed send or resume is implemented in GenerationRunFailures.cpp.
+/// Thread safety: only from the event loop thread.
 class GenerationRun : public std::enable_shared_from_this<GenerationRun>
 {
 public:
-    /// Told once when nothing further will happen in this run.
+    /// Called once, when the run has ended.
     using EndedCallback = std::function<void(GenerationRun &run)>;
-    /// Told if another request holds the key, in place of an answer; the run is then over.
-    using HeldCallback = std::function<void(const ClaimDecision &held)>;
+    /// Called instead of the sinks if another request holds the claim key; the run then ends.
+    using ClaimHeldCallback = std::function<void(const ClaimDecision &holder)>;
 
     /// Precondition: @p context outlives the run.
-    GenerationRun(DeliveryContext &context, GenerationRequest request, EndedCallback ended,
-                  HeldCallback held);
+    GenerationRun(DeliveryContext &context, GenerationRequest request, EndedCallback onEnded,
+                  ClaimHeldCallback onClaimHeld);
     ~GenerationRun();
     GenerationRun(const GenerationRun &) = delete;
     GenerationRun &operator=(const GenerationRun &) = delete;
 
-    /// Begins. Precondition: called once.
+    /// Starts the run. Precondition: called once.
     void start();
 
-    /// Adds a receiver. Events so far are replayed to it if the run keeps them, which it does
-    /// for at-most-once requests. Precondition: the run keeps events or has delivered none.
+    /// Adds a receiver and replays the buffered events to it. Only at-most-once runs buffer
+    /// their events. Precondition: the run buffers events or has delivered none.
     void attach(const std::shared_ptr<AnswerSink> &sink);
 
-    /// The caller behind @p sink has gone. An idempotent run without sinks is cancelled; one
-    /// that runs at most once goes on, so that a further request can attach to it.
+    /// Removes @p sink after its caller has disconnected. An idempotent run without sinks is
+    /// cancelled. An at-most-once run continues, so that a later request with the same key can
+    /// attach to it.
     void detach(const AnswerSink *sink);
 
     /// Cancels the run if it has no sinks.
     void cancelIfAbandoned();
 
     const GenerationRequest &request() const { return m_request; }
-    /// Events so far, if the run keeps them; event i stands at place i.
+    /// The events delivered so far, if the run buffers them; event i is at position i.
     const QList<TokenEvent> &events() const { return m_events; }
-    /// The attempt under which it claimed; empty before.
+    /// The attempt that the claim was acquired for; empty before that.
     const AttemptId &claimAttempt() const { return m_claim.attempt(); }
-    bool isOver() const { return m_over; }
-    /// Every event up to the last was received.
-    bool isWhole() const { return m_sequence.complete; }
+    bool hasEnded() const { return m_hasEnded; }
+    /// Whether every event, including the last one, was received.
+    bool isComplete() const { return m_sequence.complete; }
     bool hasSinks() const { return !m_sinks.isEmpty(); }
-    qint64 keptBytes() const { return m_keptBytes; }
-    /// How it failed, once it is over and did.
+    qint64 bufferedBytes() const { return m_bufferedBytes; }
+    /// The error that the run ended with; empty while it runs and after a complete answer.
     const std::optional<Error> &failure() const { return m_failure; }
 
 private:
     void acquireTarget();
-    void targetAcquired(const Result<TargetPlace> &place);
+    void targetAcquired(const Result<TargetAssignment> &assignment);
     void claimAndSend();
     void claimDecided(const Result<ClaimDecision> &decision);
     void send();
-    /// A stream with a number, so that a callback can tell which of two streams it is for.
+    /// A stream with a number by which a callback identifies the stream it belongs to.
     struct NumberedStream {
         quint64 number = 0;
-        /// It asks for what a send before it has started.
+        /// Whether the stream resumes the generation of an earlier send.
         bool isResume = false;
         std::unique_ptr<TargetStream> stream;
     };
 
     NumberedStream openStream(bool isResume);
-    bool isBeside(quint64 stream) const;
+    bool isParallelResume(quint64 stream) const;
     void streamEvent(const TokenEvent &event, quint64 stream);
     void deliver(const TokenEvent &event);
     void streamEnded(std::optional<SendFailure> failure, int status, const QString &reason,
                      quint64 stream);
-    void besideEnded(int status);
-    void sendFailed(SendFailure failure, int status, bool isResume, const QString &reason);
-    void resumeLater();
-    void targetUnreachable();
-    void settleByCancel(SendFailure failure, int status, const QString &reason);
-    void settled(CancelOutcome outcome, SendFailure failure, int status, const QString &reason);
-    void retryElsewhere(SendFailure failure, const QString &reason);
-    void giveUp(SendFailure failure, const QString &reason);
-    void giveUpAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason);
-    void watchForStall();
-    void watchForStall(Milliseconds silence);
-    void stalled();
+    void parallelResumeEnded(int status);
+    void handleSendFailure(SendFailure failure, int status, bool isResume, const QString &reason);
+    void scheduleResume();
+    void resumesExhausted();
+    void cancelAndResolve(SendFailure failure, int status, const QString &reason);
+    void cancelAnswered(CancelOutcome outcome, SendFailure failure, int status,
+                        const QString &reason);
+    void retryOnOtherTarget(SendFailure failure, const QString &reason);
+    void failAfter(SendFailure failure, const QString &reason);
+    void failAs(ErrorKind kind, Ran ran, SendFailure failure, const QString &reason);
+    void startStallTimer();
+    void startStallTimer(Milliseconds silence);
+    void openParallelResume();
     void deadlinePassed();
-    void dropStreams(AttemptOutcome outcome);
+    void endAttempt(AttemptOutcome outcome);
     void cancelAtTarget();
     void finish();
     void fail(Error error);
-    void over();
-    Ran whatIsKnown() const;
+    void endRun();
+    Ran ranSoFar() const;
 
     DeliveryContext &m_context;
     const GenerationRequest m_request;
     RequestClaim m_claim;
-    EndedCallback m_ended;
-    HeldCallback m_held;
+    EndedCallback m_onEnded;
+    ClaimHeldCallback m_onClaimHeld;
 
     QList<std::shared_ptr<AnswerSink>> m_sinks;
     QList<TokenEvent> m_events;
-    qint64 m_keptBytes = 0;
+    qint64 m_bufferedBytes = 0;
 
     AttemptId m_attempt;
     TargetId m_target;
     HttpEndpoint m_endpoint;
     Incarnation m_incarnation;
-    QSet<TargetId> m_excluded;
+    QSet<TargetId> m_excludedTargets;
     TokenSequence m_sequence;
     quint64 m_streamCount = 0;
     NumberedStream m_stream;
-    /// A resume opened while the stream is silent but not closed.
-    NumberedStream m_beside;
+    /// A resume that was opened while m_stream is silent but not closed.
+    NumberedStream m_parallelResume;
     std::unique_ptr<TimerSubscription> m_stallTimer;
     std::unique_ptr<TimerSubscription> m_deadlineTimer;
     std::unique_ptr<TimerSubscription> m_resumeTimer;
-    MonotonicTime m_lastEvent;
-    int m_resumeTries = 0;
+    MonotonicTime m_lastEventTime;
+    int m_resumesWithoutEvent = 0;
     int m_unansweredResumes = 0;
-    bool m_acquiring = false;
+    bool m_isAcquiring = false;
     bool m_isRetry = false;
-    /// The target of the present attempt refuses connections.
-    bool m_targetGone = false;
+    /// Connecting to the target of the current attempt failed and the target answered no cancel.
+    bool m_isTargetUnreachable = false;
     bool m_sent = false;
-    bool m_began = false;
-    bool m_over = false;
-    /// What earlier attempts of this request left behind; the last answer may not say less.
-    Ran m_ranBefore = Ran::No;
+    bool m_answerBegan = false;
+    bool m_hasEnded = false;
+    /// The highest Ran of the earlier attempts of this request. An error must not report less.
+    Ran m_ranInEarlierAttempts = Ran::No;
     std::optional<Error> m_failure;
 };
 
--- a/src/delivery/PlainRun.h
+++ b/src/delivery/PlainRun.h
@@ -1,4 +1,3 @@
-// Defines PlainRun, which carries one call of a plain service to its end.
 #pragma once
 
 #include "base/Result.h"
@@ -21,9 +20,9 @@
 struct ClaimDecision;
 struct DeliveryContext;
 
-/// A plain service can neither be resumed nor cancelled: a call whose answer was lost may
-/// have run, and is sent again only if it may run twice.
-/// Thread safety: only from the thread of the event loop.
+/// Runs one call of a plain service to its end. A plain service supports neither resume nor
+/// cancel: a call whose answer was lost may have run and is retried only if it is idempotent.
+/// Thread safety: only from the event loop thread.
 class PlainRun : public std::enable_shared_from_this<PlainRun>
 {
 public:
@@ -35,16 +34,16 @@
     PlainRun(const PlainRun &) = delete;
     PlainRun &operator=(const PlainRun &) = delete;
 
-    /// Begins. Precondition: called once.
+    /// Starts the run. Precondition: called once.
     void start();
 
 private:
     void acquireTarget();
-    void targetAcquired(const Result<TargetPlace> &place);
+    void targetAcquired(const Result<TargetAssignment> &assignment);
     void claimDecided(const Result<ClaimDecision> &decision);
     void send();
     void exchangeEnded(HttpExchangeEnd end, const HttpResponse &response);
-    void sendFailed(SendFailure failure, const HttpResponse &response);
+    void handleSendFailure(SendFailure failure, const HttpResponse &response);
     void releaseTarget(AttemptOutcome outcome);
     void finish(const Result<HttpResponse> &answer);
     void fail(Error error);
@@ -56,13 +55,13 @@
     AttemptId m_attempt;
     TargetId m_target;
     HttpEndpoint m_endpoint;
-    QSet<TargetId> m_excluded;
+    QSet<TargetId> m_excludedTargets;
     std::unique_ptr<HttpExchange> m_exchange;
     std::unique_ptr<TimerSubscription> m_deadlineTimer;
-    Ran m_ranBefore = Ran::No;
+    Ran m_ranInEarlierAttempts = Ran::No;
     bool m_isRetry = false;
     bool m_sent = false;
-    bool m_over = false;
+    bool m_hasEnded = false;
 };
 
 } // namespace cranberry
--- a/src/delivery/RunRegistry.h
+++ b/src/delivery/RunRegistry.h
@@ -1,4 +1,3 @@
-// Defines RunRegistry, the runs of this daemon, by claim key where they have one.
 #pragma once
 
 #include "base/Units.h"
@@ -19,16 +18,19 @@
 class TimerSubscription;
 struct DeliveryContext;
 
-/// Bounds on what is kept of finished at-most-once runs for senders that come again.
+/// Bounds on at-most-once runs that are retained for requests that repeat their key.
 struct RunRetention {
-    Milliseconds finished{60'000};
-    Bytes total{32 * 1024 * 1024};
-    /// Time for which an at-most-once run goes on after its caller has left.
-    Milliseconds abandoned{30'000};
+    /// Time for which a finished run is retained.
+    Milliseconds finishedDuration{60'000};
+    /// Limit on the event data of all retained runs; the oldest run is evicted first.
+    Bytes maxBytes{32 * 1024 * 1024};
+    /// Time for which an at-most-once run continues after its last caller has disconnected.
+    Milliseconds abandonedTimeout{30'000};
 };
 
-/// Owns runs from their start to the end of their retention.
-/// Thread safety: only from the thread of the event loop.
+/// Owns the runs of this daemon from their start to the end of their retention and finds
+/// at-most-once runs by claim key.
+/// Thread safety: only from the event loop thread.
 class RunRegistry
 {
 public:
@@ -37,40 +39,40 @@
     RunRegistry(const RunRegistry &) = delete;
     RunRegistry &operator=(const RunRegistry &) = delete;
 
-    /// Starts a run with one sink.
+    /// Starts a run that delivers to @p sink.
     std::shared_ptr<GenerationRun> start(GenerationRequest request,
                                          const std::shared_ptr<AnswerSink> &sink,
-                                         GenerationRun::HeldCallback held);
+                                         GenerationRun::ClaimHeldCallback onClaimHeld);
 
-    /// The run that holds @p claimKey here, running or lately finished; null if there is none.
+    /// The running or retained run with @p claimKey; null if this daemon has none.
     std::shared_ptr<GenerationRun> findByClaim(const QByteArray &claimKey) const;
 
-    /// Runs that are not over.
+    /// Number of runs that have not ended.
     int running() const { return int(m_running.size()); }
 
-    /// @p callback is called whenever no run is left.
-    void onIdle(std::function<void()> callback) { m_idle = std::move(callback); }
+    /// Sets a callback that is called whenever the last run has ended.
+    void onIdle(std::function<void()> callback) { m_onIdle = std::move(callback); }
 
 private:
-    struct Finished {
+    struct RetainedRun {
         std::shared_ptr<GenerationRun> run;
-        MonotonicTime until;
+        MonotonicTime expiry;
     };
 
     void runEnded(GenerationRun &run);
-    void keep(const std::shared_ptr<GenerationRun> &run);
-    void forgetOldest();
+    void retain(const std::shared_ptr<GenerationRun> &run);
+    void evictOldest();
     void sweep();
 
     DeliveryContext &m_context;
     const RunRetention m_retention;
     std::unordered_map<const GenerationRun *, std::shared_ptr<GenerationRun>> m_running;
-    QHash<QByteArray, std::shared_ptr<GenerationRun>> m_byClaim;
-    std::list<Finished> m_finished;
-    qint64 m_keptBytes = 0;
-    std::unordered_map<const GenerationRun *, MonotonicTime> m_abandoned;
-    std::unique_ptr<TimerSubscription> m_sweep;
-    std::function<void()> m_idle;
+    QHash<QByteArray, std::shared_ptr<GenerationRun>> m_runsByClaim;
+    std::list<RetainedRun> m_retained;
+    qint64 m_retainedBytes = 0;
+    std::unordered_map<const GenerationRun *, MonotonicTime> m_abandonedSince;
+    std::unique_ptr<TimerSubscription> m_sweepTimer;
+    std::function<void()> m_onIdle;
 };
 
 } // namespace cranberry
--- a/src/delivery/ServerSentEvents.cpp
+++ b/src/delivery/ServerSentEventParser.cpp
@@ -1,4 +1,4 @@
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr qsizetype LongestEventBytes = 1024 * 1024;
+constexpr qsizetype MaxEventBytes = 1024 * 1024;
 
 void applyLine(ServerSentEvent &event, QByteArray line)
 {
@@ -35,21 +35,21 @@
     return event;
 }
 
-/// Position and length of the first blank line, length 0 if there is none.
+/// Position and length of the first blank line; the length is 0 if there is none.
 QPair<qsizetype, qsizetype> firstBlankLine(const QByteArray &bytes)
 {
-    const qsizetype plain = bytes.indexOf("\n\n");
-    const qsizetype carriage = bytes.indexOf("\n\r\n");
-    if (plain < 0 && carriage < 0)
+    const qsizetype lf = bytes.indexOf("\n\n");
+    const qsizetype crlf = bytes.indexOf("\n\r\n");
+    if (lf < 0 && crlf < 0)
         return {0, 0};
-    if (carriage < 0 || (plain >= 0 && plain < carriage))
-        return {plain, 2};
-    return {carriage, 3};
+    if (crlf < 0 || (lf >= 0 && lf < crlf))
+        return {lf, 2};
+    return {crlf, 3};
 }
 
 } // namespace
 
-QList<ServerSentEvent> ServerSentEvents::feed(const QByteArray &bytes)
+QList<ServerSentEvent> ServerSentEventParser::feed(const QByteArray &bytes)
 {
     QList<ServerSentEvent> events;
     if (m_malformed)
@@ -67,7 +67,7 @@
         event.raw = std::exchange(m_skipped, {});
         events.append(event);
     }
-    m_malformed = m_pending.size() + m_skipped.size() > LongestEventBytes;
+    m_malformed = m_pending.size() + m_skipped.size() > MaxEventBytes;
     return events;
 }
 
--- a/src/delivery/StallThreshold.cpp
+++ b/src/delivery/StallThreshold.cpp
@@ -7,17 +7,20 @@
 
 namespace {
 
-constexpr double Decay = 0.02;
-constexpr double Deviations = 8.0;
-constexpr qint64 EnoughGaps = 20;
+/// Minimum weight of a new gap in the mean and variance; earlier gaps decay accordingly.
+constexpr double MinGapWeight = 0.02;
+/// Standard deviations above the mean gap at which silence counts as a stall.
+constexpr double StallDeviations = 8.0;
+/// Gaps that have to be known before the threshold follows the statistics.
+constexpr qint64 MinGapCount = 20;
 
 } // namespace
 
-void observeGap(GapStatistics &statistics, Milliseconds gap)
+void recordGap(GapStatistics &statistics, Milliseconds gap)
 {
     const double value = double(gap.count());
     ++statistics.count;
-    const double weight = std::max(Decay, 1.0 / double(statistics.count));
+    const double weight = std::max(MinGapWeight, 1.0 / double(statistics.count));
     const double difference = value - statistics.meanMs;
     statistics.meanMs += weight * difference;
     statistics.varianceMs += weight * (difference * difference - statistics.varianceMs);
@@ -25,10 +28,10 @@
 
 Milliseconds stallThreshold(const GapStatistics &statistics, const StallLimits &limits)
 {
-    if (statistics.count < EnoughGaps)
-        return limits.ceiling;
-    const double silence = statistics.meanMs + Deviations * std::sqrt(statistics.varianceMs);
-    return std::clamp(Milliseconds(qint64(silence)), limits.floor, limits.ceiling);
+    if (statistics.count < MinGapCount)
+        return limits.maxSilence;
+    const double silence = statistics.meanMs + StallDeviations * std::sqrt(statistics.varianceMs);
+    return std::clamp(Milliseconds(qint64(silence)), limits.minSilence, limits.maxSilence);
 }
 
 } // namespace cranberry
--- a/src/gateway/CompletionAnswer.h
+++ b/src/gateway/CompletionAnswer.h
@@ -1,4 +1,3 @@
-// Defines CompletionAnswer, which writes a generation back to its caller.
 #pragma once
 
 #include "delivery/AnswerSink.h"
@@ -15,16 +14,17 @@
 class TimerService;
 struct AnswerMetrics;
 
-/// One caller's answer, as server-sent events or as one JSON object. The status line goes out
-/// with the first event, so that a failure before it can still be answered with its status.
+/// Writes a generation to its caller, as server-sent events or as one JSON object. The status
+/// line is sent with the first event, so that an earlier failure is answered with its own status.
 /// Thread safety: only from the thread of the server.
 class CompletionAnswer final : public AnswerSink
 {
 public:
-    /// @p tooSlow is called, once, when the caller does not read its stream.
+    /// @p onSlowReader is called at most once, when the caller reads its stream too slowly.
     /// Precondition: @p timers and @p metrics outlive the answer.
     CompletionAnswer(std::shared_ptr<HttpResponder> responder, const CompletionRequest &request,
-                     TimerService &timers, AnswerMetrics &metrics, std::function<void()> tooSlow);
+                     TimerService &timers, AnswerMetrics &metrics,
+                     std::function<void()> onSlowReader);
     ~CompletionAnswer() override;
 
     void deliver(const TokenEvent &event) override;
@@ -33,8 +33,8 @@
 
 private:
     void write(const QByteArray &bytes);
-    void recordTime();
-    QByteArray wholeBody() const;
+    void recordLatency();
+    QByteArray completeBody() const;
 
     std::shared_ptr<HttpResponder> m_responder;
     RequestId m_request;
@@ -43,9 +43,9 @@
     bool m_stream;
     TimerService &m_timers;
     AnswerMetrics &m_metrics;
-    MonotonicTime m_lastEvent;
-    bool m_hadEvent = false;
-    std::function<void()> m_tooSlow;
+    MonotonicTime m_lastEventTime;
+    bool m_hasFirstEvent = false;
+    std::function<void()> m_onSlowReader;
     QString m_text;
     QString m_finishReason;
     QByteArray m_usage;
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -1,4 +1,3 @@
-// Defines Gateway, which takes callers' requests and starts what answers them.
 #pragma once
 
 #include "base/Ids.h"
@@ -14,7 +13,7 @@
 namespace cranberry {
 
 class AnswerSink;
-class AttachedAnswers;
+class AttachClient;
 class GenerationRun;
 class HttpResponder;
 class RunRegistry;
@@ -27,12 +26,13 @@
 struct HttpRequest;
 struct PlainRequest;
 
-/// Routes HTTP requests of callers. Operators' paths are offered to a handler first.
+/// Routes HTTP requests of callers and starts the runs that answer them. Requests other than
+/// those for health and metrics are offered to the operator handler first.
 /// Thread safety: only from the thread of the server; parsing runs on the worker pool.
 class Gateway : public QObject
 {
 public:
-    /// Handles a request of its own paths, or returns false.
+    /// Handles the request and returns true, or returns false if the path is not its own.
     using PathHandler = std::function<bool(const HttpRequest &request,
                                            const std::shared_ptr<HttpResponder> &responder)>;
 
@@ -42,22 +42,23 @@
 
     void handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
 
-    /// Requests from now on are admitted under @p configuration; those under way keep theirs.
+    /// Admits later requests under @p configuration; running requests keep the configuration that
+    /// they were admitted under.
     void setConfiguration(const std::shared_ptr<const Configuration> &configuration);
     void setOperatorHandler(PathHandler handler) { m_operatorHandler = std::move(handler); }
-    /// @p text gives further lines for /metrics.
+    /// Appends the lines that @p text returns to /metrics.
     void setMetricsSource(std::function<QByteArray()> text) { m_metricsSource = std::move(text); }
 
-    /// Requests whose key another daemon holds are answered through @p attached, which outlives
-    /// the gateway.
-    void setAttached(AttachedAnswers *attached) { m_attached = attached; }
+    /// Answers requests whose key another daemon holds through @p attached. Precondition:
+    /// @p attached outlives the gateway.
+    void setAttachClient(AttachClient *attached) { m_attachClient = attached; }
 
-    /// /readyz says no from now on; requests are still served.
-    void announceDrain() { m_announcedDrain = true; }
-    /// Requests from now on are refused with ErrorKind::Draining.
-    void refuseNew() { m_refusing = true; }
-    bool isReady() const { return m_configuration != nullptr && !m_announcedDrain; }
-    /// Requests that are not answered yet.
+    /// Makes /readyz report "not ready" from now on. Requests are still served.
+    void announceDrain() { m_isDrainAnnounced = true; }
+    /// Refuses all later requests with ErrorKind::Draining.
+    void refuseNewRequests() { m_refusesNewRequests = true; }
+    bool isReady() const { return m_configuration != nullptr && !m_isDrainAnnounced; }
+    /// Number of requests that are not answered yet.
     int pending() const;
 
     const AnswerMetrics &metrics() const { return m_metrics; }
@@ -65,23 +66,23 @@
 private:
     using Responder = std::shared_ptr<HttpResponder>;
 
-    bool handleOpenPath(const HttpRequest &request, const Responder &responder);
+    bool handleUnauthenticatedPath(const HttpRequest &request, const Responder &responder);
     Result<WorkspaceId> admit(const HttpRequest &request) const;
     ArrivalTime arrivalNow() const;
     void listModels(const WorkspaceId &workspace, const Responder &responder);
-    void parseThenRun(const HttpRequest &request, const WorkspaceId &workspace,
-                      CompletionShape shape, const Responder &responder);
-    /// Which run answers which caller. Neither is kept alive by it: the run holds its sinks.
+    void parseAndRun(const HttpRequest &request, const WorkspaceId &workspace,
+                     CompletionShape shape, const Responder &responder);
+    /// Connects a caller to its run. The pointers are weak because the run owns its sinks.
     struct CallerLink {
         std::weak_ptr<GenerationRun> run;
         std::weak_ptr<AnswerSink> sink;
     };
 
     void detach(const CallerLink &link);
-    void cutSlowReader(const CallerLink &link);
+    void abortSlowReader(const CallerLink &link);
     void run(const CompletionRequest &request, const Responder &responder);
-    void answerHeld(const ClaimDecision &held, const CompletionRequest &request,
-                    const std::shared_ptr<AnswerSink> &sink);
+    void answerFromClaimHolder(const ClaimDecision &held, const CompletionRequest &request,
+                               const std::shared_ptr<AnswerSink> &sink);
     void callPlain(const PlainRequest &request, const Responder &responder);
     void refuse(const Error &error, const Responder &responder);
     QByteArray metricsText() const;
@@ -94,12 +95,12 @@
     std::shared_ptr<const WorkspaceKeys> m_keys;
     PathHandler m_operatorHandler;
     std::function<QByteArray()> m_metricsSource;
-    AttachedAnswers *m_attached = nullptr;
+    AttachClient *m_attachClient = nullptr;
     AnswerMetrics m_metrics;
-    int m_parsing = 0;
+    int m_parsingRequests = 0;
     int m_plainCalls = 0;
-    bool m_announcedDrain = false;
-    bool m_refusing = false;
+    bool m_isDrainAnnounced = false;
+    bool m_refusesNewRequests = false;
 };
 
 } // namespace cranberry
--- a/src/gateway/OperatorApi.cpp
+++ b/src/gateway/OperatorApi.cpp
@@ -23,8 +23,8 @@
 const QByteArray ValidatePath = "/v1/configuration/validate";
 const QByteArray StatusPath = "/v1/status";
 const QByteArray BearerScheme = "Bearer ";
-/// What a refused operator is shown of the changes that came in between.
-constexpr qsizetype LargestDifference = 256 * 1024;
+/// Limit on the size of the changes that are listed in the answer to a version conflict.
+constexpr qsizetype MaxConflictChangesBytes = 256 * 1024;
 
 QByteArray tokenHash(const QByteArray &token)
 {
@@ -50,21 +50,22 @@
 
 Error error(ErrorKind kind, const QString &detail, const QString &field = {})
 {
-    Error made;
-    made.kind = kind;
-    made.detail = detail;
-    made.field = field;
-    return made;
+    Error result;
+    result.kind = kind;
+    result.detail = detail;
+    result.field = field;
+    return result;
 }
 
 Result<QJsonObject> parseDocument(const QByteArray &body)
 {
-    QJsonParseError fault;
-    const QJsonDocument document = QJsonDocument::fromJson(body, &fault);
-    if (fault.error != QJsonParseError::NoError) {
-        return error(
-            ErrorKind::BadRequest,
-            QStringLiteral("not JSON at byte %1: %2").arg(fault.offset).arg(fault.errorString()));
+    QJsonParseError parseError;
+    const QJsonDocument document = QJsonDocument::fromJson(body, &parseError);
+    if (parseError.error != QJsonParseError::NoError) {
+        return error(ErrorKind::BadRequest,
+                     QStringLiteral("invalid JSON at byte %1: %2")
+                         .arg(parseError.offset)
+                         .arg(parseError.errorString()));
     }
     if (!document.isObject())
         return error(ErrorKind::BadRequest, QStringLiteral("expected a JSON object"));
@@ -79,8 +80,8 @@
     return list;
 }
 
-/// The answer for @p error with @p extra members in its body.
-HttpResponse problemWith(const Error &error, const QJsonObject &extra)
+/// The response for @p error with the members of @p extra added to its body.
+HttpResponse problemResponseWith(const Error &error, const QJsonObject &extra)
 {
     HttpResponse response = problemResponse(error);
     QJsonObject body = QJsonDocument::fromJson(response.body).object();
@@ -95,7 +96,7 @@
     return jsonResponse(200, QJsonDocument(object).toJson(QJsonDocument::Compact));
 }
 
-/// The changes after @p version as far as they are known and small enough to show.
+/// The changes after @p version; empty if they are unknown or exceed the size limit.
 QJsonArray changesSince(const ConfigurationStore &store, ConfigurationVersion version)
 {
     QJsonArray list;
@@ -103,7 +104,7 @@
     const auto changes = store.changesAfter(version).value_or(QList<ConfigurationChange>());
     for (const ConfigurationChange &change : changes) {
         size += QJsonDocument(change.patch).toJson(QJsonDocument::Compact).size();
-        if (size > LargestDifference)
+        if (size > MaxConflictChangesBytes)
             return {};
         list.append(QJsonObject{{"version", change.version.value()},
                                 {"change_id", change.id.text()},
@@ -113,7 +114,7 @@
 }
 
 template <typename Part>
-auto partOf(const std::function<Part()> &source)
+auto valueOrDefault(const std::function<Part()> &source)
 {
     return source ? source() : Part();
 }
@@ -138,9 +139,9 @@
         responder->send(*page);
         return true;
     }
-    const bool isOwn = request.path == ConfigurationPath || request.path == ValidatePath
+    const bool isOwnPath = request.path == ConfigurationPath || request.path == ValidatePath
         || request.path == StatusPath;
-    if (!isOwn)
+    if (!isOwnPath)
         return false;
     if (!isAuthorized(request)) {
         HttpResponse refusal = problemResponse(
@@ -159,7 +160,7 @@
         handleConfiguration(request, responder);
     else
         responder->send(problemResponse(
-            error(ErrorKind::BadRequest, QStringLiteral("the path does not have this method"))));
+            error(ErrorKind::BadRequest, QStringLiteral("the path does not support this method"))));
     return true;
 }
 
@@ -168,11 +169,12 @@
     const QByteArray header = request.headers.value("Authorization");
     if (m_tokenHash.isEmpty() || !header.startsWith(BearerScheme))
         return false;
-    // Hashes of one length, compared in constant time: the time of a refusal must not tell how
-    // much of a guessed token was right.
-    const QByteArray given = tokenHash(header.mid(BearerScheme.size()));
-    return given.size() == m_tokenHash.size()
-        && CRYPTO_memcmp(given.constData(), m_tokenHash.constData(), size_t(given.size())) == 0;
+    // Hashes of equal length are compared in constant time, so that the response time does not
+    // reveal how much of a guessed token is correct.
+    const QByteArray givenHash = tokenHash(header.mid(BearerScheme.size()));
+    return givenHash.size() == m_tokenHash.size()
+        && CRYPTO_memcmp(givenHash.constData(), m_tokenHash.constData(), size_t(givenHash.size()))
+        == 0;
 }
 
 void OperatorApi::handleConfiguration(const HttpRequest &request, const Responder &responder)
@@ -189,8 +191,9 @@
 void OperatorApi::show(const Responder &responder)
 {
     if (!m_store.current()) {
-        responder->send(problemResponse(error(
-            ErrorKind::NotReady, QStringLiteral("no configuration has reached this daemon yet"))));
+        responder->send(problemResponse(
+            error(ErrorKind::NotReady,
+                  QStringLiteral("this daemon has not received a configuration yet"))));
         return;
     }
     HttpResponse response = objectResponse(m_store.document());
@@ -206,8 +209,8 @@
     if (!expected) {
         responder->send(problemResponse(
             error(ErrorKind::BadHeader,
-                  QStringLiteral("expected If-Match with the version that the document was made "
-                                 "from, as the ETag of GET gives it"),
+                  QStringLiteral("expected If-Match with the version that the document is based "
+                                 "on, as returned in the ETag of GET"),
                   QStringLiteral("If-Match"))));
         return;
     }
@@ -244,12 +247,14 @@
     }
     case SubmitOutcome::VersionConflict: {
         const QString detail =
-            QStringLiteral("the present version is %1, not %2: take it over and submit again")
+            QStringLiteral(
+                "the current version is %1, not %2: rebase the change and submit it again")
                 .arg(result.version.value())
                 .arg(expected.value());
         QJsonObject extra = version;
         extra.insert(QStringLiteral("changes"), changesSince(m_store, expected));
-        HttpResponse response = problemWith(error(ErrorKind::VersionConflict, detail), extra);
+        HttpResponse response =
+            problemResponseWith(error(ErrorKind::VersionConflict, detail), extra);
         response.headers.add("ETag", etag(result.version));
         responder->send(response);
         return;
@@ -257,21 +262,21 @@
     case SubmitOutcome::Invalid: {
         const QString detail = result.faults.first().text();
         Error fault = error(ErrorKind::InvalidConfiguration, detail, result.faults.first().path);
-        responder->send(problemWith(fault, {{"faults", faultList(result.faults)}}));
+        responder->send(problemResponseWith(fault, {{"faults", faultList(result.faults)}}));
         return;
     }
     case SubmitOutcome::PlatformUnavailable:
         responder->send(problemResponse(
             error(ErrorKind::PlatformUnavailable,
-                  QStringLiteral("the platform's service does not answer; nothing was changed"))));
+                  QStringLiteral("the platform service does not respond; nothing was changed"))));
         return;
     case SubmitOutcome::Unsettled: {
         Error unsettled = error(
             ErrorKind::OutcomeUnknown,
-            QStringLiteral("the platform's service stopped answering: the change may be accepted; "
-                           "read the configuration once it answers again"));
+            QStringLiteral("the platform service stopped responding: the change may have been "
+                           "accepted; read the configuration when it responds again"));
         unsettled.ran = Ran::Maybe;
-        responder->send(problemWith(unsettled, {{"change_id", result.change.text()}}));
+        responder->send(problemResponseWith(unsettled, {{"change_id", result.change.text()}}));
         return;
     }
     }
@@ -298,17 +303,17 @@
 
 void OperatorApi::handleStatus(const Responder &responder)
 {
-    const auto inForce = m_store.current();
+    const auto configuration = m_store.current();
     const QJsonObject status{
         {"vm", m_self.text()},
-        {"ready", partOf(m_status.ready)},
+        {"ready", valueOrDefault(m_status.ready)},
         {"configuration_version",
-         inForce ? QJsonValue(inForce->version.value()) : QJsonValue(QJsonValue::Null)},
+         configuration ? QJsonValue(configuration->version.value()) : QJsonValue(QJsonValue::Null)},
         {"configuration_fault", m_store.fault()},
-        {"platform_reachable", partOf(m_status.platformReachable)},
-        {"members", partOf(m_status.members)},
-        {"targets", partOf(m_status.targets)},
-        {"quarantine", partOf(m_status.quarantine)},
+        {"platform_reachable", valueOrDefault(m_status.platformReachable)},
+        {"members", valueOrDefault(m_status.members)},
+        {"targets", valueOrDefault(m_status.targets)},
+        {"quarantine", valueOrDefault(m_status.quarantine)},
     };
     responder->send(objectResponse(status));
 }
--- a/src/gateway/PlainCall.cpp
+++ b/src/gateway/PlainCall.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-const QByteArray Prefix = "/services/";
+const QByteArray ServicePathPrefix = "/services/";
 
-/// Headers that belong to one connection, or that say who the caller is.
+/// Headers that apply to a single connection or identify the caller.
 const QSet<QByteArray> HeadersNotForwarded = {
     "authorization", "connection", "content-length", "host",    "transfer-encoding", "expect",
     "keep-alive",    "te",         "trailer",        "upgrade", "cranberry-attempt"};
@@ -25,7 +25,7 @@
 {
     return {ErrorKind::UnknownService,
             Ran::No,
-            QStringLiteral("service \"%1\" is not one that this workspace can use")
+            QStringLiteral("service \"%1\" does not exist or is not available to this workspace")
                 .arg(QString::fromUtf8(name.left(80))),
             QStringLiteral("path"),
             {}};
@@ -54,7 +54,7 @@
     return hash.result();
 }
 
-/// Methods that HTTP itself lets a client send again.
+/// Whether HTTP allows a client to repeat a request with @p method.
 bool isIdempotentMethod(const QByteArray &method)
 {
     return method != "POST" && method != "PATCH";
@@ -67,15 +67,16 @@
                                     const ArrivalTime &arrival)
 {
     BOOST_OUTCOME_TRY(headers, parseCallerHeaders(request));
-    const QByteArray rest = request.path.mid(Prefix.size());
+    const QByteArray rest = request.path.mid(ServicePathPrefix.size());
     const qsizetype slash = rest.indexOf('/');
     const QByteArray name = slash < 0 ? rest : rest.left(slash);
     const ServiceId id(QUrl::fromPercentEncoding(name));
     const auto service = configuration->services.constFind(id);
-    const auto owner = configuration->workspaces.constFind(workspace);
+    const auto workspaceSettings = configuration->workspaces.constFind(workspace);
     const bool known = service != configuration->services.constEnd()
-        && service->kind == ServiceKind::Plain && owner != configuration->workspaces.constEnd()
-        && owner->services.contains(id);
+        && service->kind == ServiceKind::Plain
+        && workspaceSettings != configuration->workspaces.constEnd()
+        && workspaceSettings->services.contains(id);
     if (!known)
         return unknownService(name);
 
@@ -86,10 +87,10 @@
     result.configuration = configuration;
     result.upstream = upstreamRequest(request, slash < 0 ? QByteArray("/") : rest.mid(slash));
     result.deadline = arrival.monotonic + headers.deadline.value_or(service->defaultDeadline);
-    const bool byDefault = service->atMostOnce && !isIdempotentMethod(request.method);
-    result.atMostOnce = headers.atMostOnce.value_or(byDefault);
+    const bool atMostOnceByDefault = service->atMostOnce && !isIdempotentMethod(request.method);
+    result.atMostOnce = headers.atMostOnce.value_or(atMostOnceByDefault);
     if (result.atMostOnce) {
-        BOOST_OUTCOME_TRY(checkOnceKey(headers.idempotencyKey, arrival));
+        BOOST_OUTCOME_TRY(checkAtMostOnceKey(headers.idempotencyKey, arrival));
     }
     result.claimKey = claimKeyOf(workspace, headers.idempotencyKey);
     result.fingerprint = fingerprintOf(result.upstream);
--- a/src/relay/RelayAttempt.h
+++ b/src/relay/RelayAttempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "delivery/ServerSentEvents.h"
+#include "delivery/ServerSentEventParser.h"
 #include "http/HttpExchange.h"
 #include "relay/SendResult.h"
 
@@ -36,7 +36,7 @@
                  const AttemptPlan &plan, Milliseconds maxIdle, RelayAttemptCallbacks callbacks);
 
     /// Bytes of a stream after its last complete event.
-    QByteArray unfinishedEvent() const { return m_events.rest(); }
+    QByteArray unfinishedEvent() const { return m_events.unparsedBytes(); }
 
 private:
     void headersReceived(int status, const HttpHeaders &headers);
@@ -51,7 +51,7 @@
     bool m_hasHead = false;
     bool m_isStream = false;
     QByteArray m_body;
-    ServerSentEvents m_events;
+    ServerSentEventParser m_events;
     /// Expires when the attempt is destroyed, which a callback may do.
     std::shared_ptr<bool> m_alive;
     std::unique_ptr<HttpExchange> m_exchange;
