--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -156,7 +156,7 @@
 {
     m_parts->configuration.onInForce(
         [this](const std::shared_ptr<const Configuration> &) { configurationInForce(); });
-    m_parts->members.onVersionHeard([this](const VmId &from, ConfigurationVersion version) {
+    m_parts->members.onNewerVersion([this](const VmId &from, ConfigurationVersion version) {
         m_parts->spread.versionHeard(from, version);
     });
     m_parts->gateway.setAttached(&m_parts->attached);
@@ -165,19 +165,19 @@
             return m_parts->operators.handle(request, responder);
         });
     m_parts->quarantine.onNews([this](const QCborMap &news) {
-        m_parts->members.addDelta(PeerMessageKind::Quarantine, news);
+        m_parts->members.broadcast(PeerMessageKind::Quarantine, news);
     });
-    m_parts->members.onDelta(PeerMessageKind::Quarantine,
-                             [this](const VmId &, const QCborMap &news) {
-                                 m_parts->quarantine.takeNews(news, m_parts->timers.now());
-                             });
+    m_parts->members.onBroadcast(PeerMessageKind::Quarantine,
+                                 [this](const VmId &, const QCborMap &news) {
+                                     m_parts->quarantine.takeNews(news, m_parts->timers.now());
+                                 });
     const auto tellLeaving = [this](const TargetId &target, Incarnation incarnation) {
-        m_parts->members.addDelta(PeerMessageKind::TargetLeaving,
-                                  toCbor(TargetLeavingNews{target, incarnation}));
+        m_parts->members.broadcast(PeerMessageKind::TargetLeaving,
+                                   toCbor(TargetLeavingNews{target, incarnation}));
     };
     m_parts->poller.onLeaving(tellLeaving);
     m_parts->dispatcher.onLeaving(tellLeaving);
-    m_parts->members.onDelta(
+    m_parts->members.onBroadcast(
         PeerMessageKind::TargetLeaving, [this](const VmId &, const QCborMap &body) {
             if (const std::optional<TargetLeavingNews> news = targetLeavingNewsFrom(body))
                 m_parts->targets.markLeaving(news->target, news->incarnation);
--- a/src/membership/FailureDetection.cpp
+++ b/src/membership/FailureDetection.cpp
@@ -8,77 +8,82 @@
 
 namespace {
 
-constexpr int ProbeHelpers = 2;
-/// A member heard within this time can be asked to probe.
-constexpr Milliseconds RecentlyHeard{15'000};
+constexpr int ProbeHelperCount = 2;
+/// A member that has been heard within this time can be asked to probe another.
+constexpr Milliseconds HelperRecencyLimit{15'000};
 
-bool isRecent(const MemberRecord &record, MonotonicTime now)
+bool wasHeardRecently(const MemberRecord &record, MonotonicTime now)
 {
-    return record.heard && now - record.lastHeard < RecentlyHeard;
+    return record.hasBeenHeard && now - record.lastHeard < HelperRecencyLimit;
 }
 
-/// Members that can probe @p vm, beginning at a random one.
-QList<VmId> helpersFor(const MembershipState &state, const VmId &vm, MonotonicTime now,
-                       quint64 random)
+/// Up to ProbeHelperCount members that can probe @p vm, chosen by @p random.
+QList<VmId> selectProbeHelpers(const MembershipState &state, const VmId &vm, MonotonicTime now,
+                               quint64 random)
 {
-    QList<VmId> able;
+    QList<VmId> candidates;
     for (const VmId &neighbour : state.neighbours.all()) {
         const MemberRecord &record = *state.others.constFind(neighbour);
         if (neighbour != vm && record.member.state != MemberState::Dead
-            && !state.suspicions.contains(neighbour) && isRecent(record, now))
-            able.append(neighbour);
+            && !state.suspicions.contains(neighbour) && wasHeardRecently(record, now))
+            candidates.append(neighbour);
     }
-    if (able.isEmpty())
-        return able;
-    std::rotate(able.begin(), able.begin() + qsizetype(random % quint64(able.size())), able.end());
-    return able.mid(0, ProbeHelpers);
+    if (candidates.isEmpty())
+        return candidates;
+    std::rotate(candidates.begin(),
+                candidates.begin() + qsizetype(random % quint64(candidates.size())),
+                candidates.end());
+    return candidates.mid(0, ProbeHelperCount);
 }
 
 void probe(const MembershipState &state, const VmId &vm, Suspicion &suspicion, MonotonicTime now,
            quint64 random, MembershipOutput &output)
 {
-    const QList<VmId> helpers = helpersFor(state, vm, now, random);
+    const QList<VmId> helpers = selectProbeHelpers(state, vm, now, random);
     suspicion.deadline = now + state.settings.probeTimeout;
-    suspicion.helpers = int(helpers.size());
-    suspicion.unreached = 0;
+    suspicion.helperCount = int(helpers.size());
+    suspicion.unreachableReports = 0;
     output.messages.append({vm, ProbeMessage{vm}});
     for (const VmId &helper : helpers)
         output.messages.append({helper, ProbeMessage{vm}});
 }
 
-Milliseconds allowedSilence(const MembershipState &state, const MemberRecord &record)
+Milliseconds silenceTimeout(const MembershipState &state, const MemberRecord &record)
 {
-    const Milliseconds promised = std::max(record.promised, state.settings.heartbeat);
-    return promised * state.settings.missedHeartbeats + record.grace;
+    const Milliseconds announcedInterval =
+        std::max(record.announcedInterval, state.settings.heartbeatInterval);
+    return announcedInterval * state.settings.missedHeartbeatLimit + record.gracePeriod;
 }
 
-bool isOnlyOther(const MembershipState &state, const VmId &vm)
+bool isOnlyLivePeer(const MembershipState &state, const VmId &vm)
 {
     return std::all_of(state.others.begin(), state.others.end(), [&](const MemberRecord &record) {
         return record.member.vm == vm || record.member.state == MemberState::Dead;
     });
 }
 
-/// What a round of probes showed.
-enum class ProbeVerdict {
+/// The result of one round of probes.
+enum class ProbeRoundResult {
     Dead,
     AnotherRound,
 };
 
-ProbeVerdict verdict(const MembershipState &state, const VmId &vm, const Suspicion &suspicion)
+ProbeRoundResult evaluateProbeRound(const MembershipState &state, const VmId &vm,
+                                    const Suspicion &suspicion)
 {
-    if (suspicion.unreached > 0)
-        return ProbeVerdict::Dead;
+    if (suspicion.unreachableReports > 0)
+        return ProbeRoundResult::Dead;
     if (suspicion.round < state.settings.probeRounds)
-        return ProbeVerdict::AnotherRound;
-    // No helper answered either. A daemon that is itself cut off hears nobody: it must not
-    // take everyone else for dead, so it keeps asking until it has heard somebody since. Of a
-    // listed member that never spoke it may be said, for its first word takes it back.
-    const bool heardSince = suspicion.since < state.lastHeardAnyone;
-    const bool neverSpoke = state.others.constFind(vm)->member.incarnation == Incarnation();
-    if (heardSince || neverSpoke || isOnlyOther(state, vm))
-        return ProbeVerdict::Dead;
-    return ProbeVerdict::AnotherRound;
+        return ProbeRoundResult::AnotherRound;
+    // No helper answered either. A daemon that is cut off from the network hears nobody and must
+    // not declare every other member dead, so it keeps probing until it has received a message
+    // since the suspicion started. A listed member that was never heard may be declared dead: its
+    // first message has a greater incarnation and revokes the declaration.
+    const bool hasHeardSince = suspicion.startedAt < state.lastMessageAt;
+    const bool wasNeverHeard = state.others.constFind(vm)->member.incarnation == Incarnation();
+    if (hasHeardSince || wasNeverHeard || isOnlyLivePeer(state, vm))
+        return ProbeRoundResult::Dead;
+    return ProbeRoundResult::AnotherRound;
 }
 
 } // namespace
@@ -89,32 +94,34 @@
     if (state.suspicions.contains(vm) || state.others[vm].member.state == MemberState::Dead)
         return;
     Suspicion suspicion;
-    suspicion.since = now;
+    suspicion.startedAt = now;
     probe(state, vm, suspicion, now, random, output);
     state.suspicions.insert(vm, suspicion);
     if (state.others[vm].member.state == MemberState::Alive)
         setMemberState(state, vm, MemberState::Suspect, now, output);
 }
 
-void suspectSilent(MembershipState &state, MonotonicTime now, quint64 random,
-                   MembershipOutput &output)
+void suspectSilentNeighbours(MembershipState &state, MonotonicTime now, quint64 random,
+                             MembershipOutput &output)
 {
     for (const VmId &vm : state.neighbours.all()) {
         const MemberRecord &record = state.others[vm];
-        if (now - record.lastHeard > allowedSilence(state, record))
+        if (now - record.lastHeard > silenceTimeout(state, record))
             suspect(state, vm, now, random, output);
     }
 }
 
-void endProbes(MembershipState &state, MonotonicTime now, quint64 random, MembershipOutput &output)
+void finishProbeRounds(MembershipState &state, MonotonicTime now, quint64 random,
+                       MembershipOutput &output)
 {
     const QList<VmId> probed = state.suspicions.keys();
     for (const VmId &vm : probed) {
         Suspicion &suspicion = state.suspicions[vm];
-        const bool allUnreached = suspicion.helpers > 0 && suspicion.unreached >= suspicion.helpers;
-        if (now < suspicion.deadline && !allUnreached)
+        const bool allHelpersFailed =
+            suspicion.helperCount > 0 && suspicion.unreachableReports >= suspicion.helperCount;
+        if (now < suspicion.deadline && !allHelpersFailed)
             continue;
-        if (verdict(state, vm, suspicion) == ProbeVerdict::Dead) {
+        if (evaluateProbeRound(state, vm, suspicion) == ProbeRoundResult::Dead) {
             state.suspicions.remove(vm);
             setMemberState(state, vm, MemberState::Dead, now, output);
             continue;
@@ -124,12 +131,13 @@
     }
 }
 
-void endRelays(MembershipState &state, const VmId &vm, MonotonicTime now, MembershipOutput &output)
+void expireRelayedProbes(MembershipState &state, const VmId &vm, MonotonicTime now,
+                         MembershipOutput &output)
 {
-    state.relays.removeIf([&](const RelayedProbe &relay) {
+    state.relayedProbes.removeIf([&](const RelayedProbe &relay) {
         if (relay.target != vm && now < relay.deadline)
             return false;
-        output.messages.append({relay.origin, ProbeAnswerMessage{relay.target, false, {}}});
+        output.messages.append({relay.requester, ProbeAnswerMessage{relay.target, false, {}}});
         return true;
     });
 }
@@ -141,10 +149,10 @@
     state.suspicions.remove(vm);
     if (record.member.state != MemberState::Suspect)
         return;
-    // Not passed on: only the member itself can clear its name elsewhere, by a greater
-    // incarnation, else old words would chase each other.
+    // Not gossiped: only the member itself refutes a suspicion elsewhere, with a greater
+    // incarnation. Otherwise outdated updates would keep replacing each other.
     record.member.state = MemberState::Alive;
-    record.stateSince = now;
+    record.stateChangedAt = now;
     output.changes.append(record.member);
 }
 
--- a/src/membership/FailureDetection.h
+++ b/src/membership/FailureDetection.h
@@ -1,4 +1,3 @@
-// Defines how silent members are suspected, probed and taken for dead.
 #pragma once
 
 #include "membership/MembershipOutput.h"
@@ -6,22 +5,26 @@
 
 namespace cranberry {
 
-/// Starts to probe @p vm, directly and through others, unless that is under way. Precondition:
-/// @p vm is in the table.
+/// Starts probing @p vm, directly and through other members, unless it is being probed already.
+/// Precondition: @p vm is in the table.
 void suspect(MembershipState &state, const VmId &vm, MonotonicTime now, quint64 random,
              MembershipOutput &output);
 
-/// Suspects neighbours that have missed their heartbeats.
-void suspectSilent(MembershipState &state, MonotonicTime now, quint64 random,
-                   MembershipOutput &output);
+/// Suspects each neighbour whose heartbeats have been missing for longer than its timeout.
+void suspectSilentNeighbours(MembershipState &state, MonotonicTime now, quint64 random,
+                             MembershipOutput &output);
 
-/// Ends the rounds of probes whose time has passed: with a death, or another round.
-void endProbes(MembershipState &state, MonotonicTime now, quint64 random, MembershipOutput &output);
+/// Evaluates each probe round that has timed out or in which all helpers reported the member
+/// unreachable: declares the member dead or starts another round.
+void finishProbeRounds(MembershipState &state, MonotonicTime now, quint64 random,
+                       MembershipOutput &output);
 
-/// Tells those that asked for a probe in vain; also that of @p vm at once if it is not empty.
-void endRelays(MembershipState &state, const VmId &vm, MonotonicTime now, MembershipOutput &output);
+/// Reports failure to the requester of each relayed probe that has timed out. If @p vm is not
+/// empty, relayed probes of @p vm fail at once.
+void expireRelayedProbes(MembershipState &state, const VmId &vm, MonotonicTime now,
+                         MembershipOutput &output);
 
-/// Direct word of @p vm came.
+/// Ends the suspicion of @p vm after a message from it, or a probe that reached it.
 void clearSuspicion(MembershipState &state, const VmId &vm, MonotonicTime now,
                     MembershipOutput &output);
 
--- a/src/membership/GossipQueue.cpp
+++ b/src/membership/GossipQueue.cpp
@@ -8,38 +8,39 @@
 
 namespace {
 
-constexpr qsizetype MostTakenNews = 4096;
+constexpr qsizetype MaxSeenBroadcasts = 4096;
 
 int encodedSize(const GossipItem &item)
 {
     if (const auto *member = std::get_if<Member>(&item.content))
         return int(memberToCbor(*member).toCbor().size());
-    return int(newsToCbor(std::get<NewsItem>(item.content)).toCbor().size());
+    return int(broadcastToCbor(std::get<Broadcast>(item.content)).toCbor().size());
 }
 
-bool isPressing(const GossipItem &item)
+bool isHighPriority(const GossipItem &item)
 {
     const auto *member = std::get_if<Member>(&item.content);
     return !member || member->state != MemberState::Alive;
 }
 
-void append(GossipQueue &queue, GossipItem item, const VmId &knownTo, int mostItems)
+void append(GossipQueue &queue, GossipItem item, const VmId &knownTo, int maxItems)
 {
     if (!knownTo.isEmpty())
         item.knownTo.insert(knownTo);
-    // A full queue loses its oldest join, or if it holds none its oldest item: that one has
-    // reached most neighbours.
-    if (queue.items.size() >= mostItems) {
-        const auto join = std::find_if_not(queue.items.begin(), queue.items.end(), isPressing);
-        queue.items.erase(join == queue.items.end() ? queue.items.begin() : join);
+    // A full queue drops its oldest join or, without a join, its oldest item, which has been sent
+    // to the most neighbours.
+    if (queue.items.size() >= maxItems) {
+        const auto oldestJoin =
+            std::find_if_not(queue.items.begin(), queue.items.end(), isHighPriority);
+        queue.items.erase(oldestJoin == queue.items.end() ? queue.items.begin() : oldestJoin);
     }
     queue.items.append(std::move(item));
 }
 
 } // namespace
 
-void gossipMember(GossipQueue &queue, const Member &member, const VmId &knownTo, MonotonicTime now,
-                  int mostItems)
+void queueMemberUpdate(GossipQueue &queue, const Member &member, const VmId &knownTo,
+                       MonotonicTime now, int maxItems)
 {
     const auto ofSameVm = [&](const GossipItem &item) {
         const auto *queued = std::get_if<Member>(&item.content);
@@ -47,13 +48,13 @@
     };
     queue.items.removeIf(ofSameVm);
     GossipItem item{member, now, {}};
-    // A member that is called suspect or dead has to hear it, to refute it.
+    // A member that is reported suspect or dead has to receive the report to refute it.
     if (member.state == MemberState::Alive || member.state == MemberState::Leaving)
         item.knownTo.insert(member.vm);
-    append(queue, std::move(item), knownTo, mostItems);
+    append(queue, std::move(item), knownTo, maxItems);
 }
 
-void noteMemberKnown(GossipQueue &queue, const Member &member, const VmId &knownTo)
+void markMemberKnown(GossipQueue &queue, const Member &member, const VmId &knownTo)
 {
     for (GossipItem &item : queue.items) {
         const auto *queued = std::get_if<Member>(&item.content);
@@ -63,36 +64,36 @@
     }
 }
 
-bool gossipNews(GossipQueue &queue, const NewsItem &item, const VmId &knownTo, MonotonicTime now,
-                int mostItems)
+bool queueBroadcast(GossipQueue &queue, const Broadcast &item, const VmId &knownTo,
+                    MonotonicTime now, int maxItems)
 {
-    if (queue.takenNews.contains(item.number)) {
-        // Who tells it again has it: nothing more to send there.
+    if (queue.seenBroadcasts.contains(item.number)) {
+        // The sender of a duplicate has the broadcast: it is not sent back there.
         for (GossipItem &queued : queue.items) {
-            const auto *news = std::get_if<NewsItem>(&queued.content);
-            if (news && news->number == item.number)
+            const auto *broadcast = std::get_if<Broadcast>(&queued.content);
+            if (broadcast && broadcast->number == item.number)
                 queued.knownTo.insert(knownTo);
         }
         return false;
     }
-    queue.takenNews.insert(item.number);
-    queue.takenOrder.append(item.number);
-    if (queue.takenOrder.size() > MostTakenNews)
-        queue.takenNews.remove(queue.takenOrder.takeFirst());
-    append(queue, {item, now, {item.origin}}, knownTo, mostItems);
+    queue.seenBroadcasts.insert(item.number);
+    queue.seenBroadcastOrder.append(item.number);
+    if (queue.seenBroadcastOrder.size() > MaxSeenBroadcasts)
+        queue.seenBroadcasts.remove(queue.seenBroadcastOrder.takeFirst());
+    append(queue, {item, now, {item.origin}}, knownTo, maxItems);
     return true;
 }
 
-bool gossipWaits(const GossipQueue &queue, const VmId &neighbour)
+bool hasPendingGossip(const GossipQueue &queue, const VmId &neighbour)
 {
     return std::any_of(queue.items.begin(), queue.items.end(),
                        [&](const GossipItem &item) { return !item.knownTo.contains(neighbour); });
 }
 
-int takeGossip(GossipQueue &queue, const VmId &neighbour, int bytes, HeartbeatMessage &message)
+int collectGossip(GossipQueue &queue, const VmId &neighbour, int bytes, HeartbeatMessage &message)
 {
-    // Many joins at once must not hold up the word of a member or target that is going.
-    std::stable_partition(queue.items.begin(), queue.items.end(), isPressing);
+    // Many simultaneous joins must not delay the update of a member or target that is leaving.
+    std::stable_partition(queue.items.begin(), queue.items.end(), isHighPriority);
     int used = 0;
     for (GossipItem &item : queue.items) {
         if (item.knownTo.contains(neighbour))
@@ -105,18 +106,19 @@
         if (const auto *member = std::get_if<Member>(&item.content))
             message.members.append(*member);
         else
-            message.news.append(std::get<NewsItem>(item.content));
+            message.broadcasts.append(std::get<Broadcast>(item.content));
     }
     return used;
 }
 
-void trimGossip(GossipQueue &queue, const QList<VmId> &neighbours, MonotonicTime now,
-                Milliseconds life)
+void pruneGossip(GossipQueue &queue, const QList<VmId> &neighbours, MonotonicTime now,
+                 Milliseconds lifetime)
 {
     queue.items.removeIf([&](const GossipItem &item) {
-        const bool done = std::all_of(neighbours.begin(), neighbours.end(),
-                                      [&](const VmId &vm) { return item.knownTo.contains(vm); });
-        return done || now - item.since > life;
+        const bool isDelivered =
+            std::all_of(neighbours.begin(), neighbours.end(),
+                        [&](const VmId &vm) { return item.knownTo.contains(vm); });
+        return isDelivered || now - item.queuedAt > lifetime;
     });
 }
 
--- a/src/membership/GossipQueue.h
+++ b/src/membership/GossipQueue.h
@@ -1,4 +1,3 @@
-// Defines GossipQueue, what a daemon still has to pass on to its neighbours.
 #pragma once
 
 #include "membership/HeartbeatMessage.h"
@@ -10,43 +9,48 @@
 
 namespace cranberry {
 
+/// An update about a member or a broadcast that is queued for gossip.
 struct GossipItem {
-    std::variant<Member, NewsItem> content;
-    MonotonicTime since;
-    /// Neighbours that have it: from this daemon, or who told it to this daemon.
+    std::variant<Member, Broadcast> content;
+    MonotonicTime queuedAt;
+    /// Members that received the item from this daemon or sent it to this daemon.
     QSet<VmId> knownTo;
 };
 
-/// Each item goes once to each neighbour and is then done with, so what a daemon sends of one
-/// item is bounded by its neighbours, and each item floods the fleet once.
+/// Updates that a daemon still has to send to its neighbours.
+/// Each item is sent once to each neighbour and then dropped. The messages that a daemon sends
+/// for one item are bounded by the number of its neighbours, and each item floods the fleet once.
 struct GossipQueue {
     QList<GossipItem> items;
-    /// News that was taken already, and the order in which to forget it.
-    QSet<qint64> takenNews;
-    QList<qint64> takenOrder;
+    /// Numbers of broadcasts already received, and the same numbers oldest first for eviction.
+    QSet<qint64> seenBroadcasts;
+    QList<qint64> seenBroadcastOrder;
 };
 
-/// Queues @p member in place of what the queue holds of the same VM. No I/O, no clock; so
-/// are all functions here.
-void gossipMember(GossipQueue &queue, const Member &member, const VmId &knownTo, MonotonicTime now,
-                  int mostItems);
+// None of these functions does I/O or reads a clock.
 
-/// Notes that @p knownTo has told the same of @p member, so need not be told.
-void noteMemberKnown(GossipQueue &queue, const Member &member, const VmId &knownTo);
+/// Queues @p member and replaces any queued update of the same VM.
+void queueMemberUpdate(GossipQueue &queue, const Member &member, const VmId &knownTo,
+                       MonotonicTime now, int maxItems);
 
-/// Queues @p item. False if it was taken before.
-bool gossipNews(GossipQueue &queue, const NewsItem &item, const VmId &knownTo, MonotonicTime now,
-                int mostItems);
+/// Records that @p knownTo has the queued update if it equals @p member, so that it is not sent
+/// to @p knownTo.
+void markMemberKnown(GossipQueue &queue, const Member &member, const VmId &knownTo);
 
-/// True if something waits for @p neighbour.
-bool gossipWaits(const GossipQueue &queue, const VmId &neighbour);
+/// Queues @p item. Returns false if it was received before.
+bool queueBroadcast(GossipQueue &queue, const Broadcast &item, const VmId &knownTo,
+                    MonotonicTime now, int maxItems);
 
-/// Moves up to @p bytes of what waits for @p neighbour to @p message, joins last, else the
-/// oldest first. Returns the bytes used.
-int takeGossip(GossipQueue &queue, const VmId &neighbour, int bytes, HeartbeatMessage &message);
+/// True if an item has not been sent to @p neighbour yet.
+bool hasPendingGossip(const GossipQueue &queue, const VmId &neighbour);
 
-/// Drops items that all @p neighbours have or that are older than @p life.
-void trimGossip(GossipQueue &queue, const QList<VmId> &neighbours, MonotonicTime now,
-                Milliseconds life);
+/// Adds up to @p bytes of pending items for @p neighbour to @p message and marks them as known to
+/// it. Joins come last; otherwise the oldest come first. A first item is added whatever its size.
+/// Returns the bytes used.
+int collectGossip(GossipQueue &queue, const VmId &neighbour, int bytes, HeartbeatMessage &message);
+
+/// Drops items that all @p neighbours have or that are older than @p lifetime.
+void pruneGossip(GossipQueue &queue, const QList<VmId> &neighbours, MonotonicTime now,
+                 Milliseconds lifetime);
 
 } // namespace cranberry
--- a/src/membership/HeartbeatMessage.h
+++ b/src/membership/HeartbeatMessage.h
@@ -1,4 +1,3 @@
-// Defines HeartbeatMessage, what a daemon tells its neighbours at a steady pace.
 #pragma once
 
 #include "membership/MemberView.h"
@@ -11,15 +10,16 @@
 
 namespace cranberry {
 
+/// Sent by a daemon to its neighbours periodically.
 struct HeartbeatMessage {
     Incarnation incarnation;
     ConfigurationVersion configurationVersion;
-    /// The sender will send its next heartbeat on this link within so long.
-    Milliseconds next{0};
+    /// The sender sends its next heartbeat to the same receiver within this time.
+    Milliseconds nextInterval{0};
     bool leaving = false;
     QList<Member> members;
-    QList<NewsItem> news;
-    /// Of placement; opaque here.
+    QList<Broadcast> broadcasts;
+    /// Set and read by placement; opaque to membership.
     QCborMap credits;
 };
 
--- a/src/membership/MemberEntry.h
+++ b/src/membership/MemberEntry.h
@@ -1,4 +1,3 @@
-// Defines the CBOR form in which members tell each other of a member.
 #pragma once
 
 #include "membership/MemberView.h"
@@ -9,7 +8,7 @@
 
 namespace cranberry {
 
-/// Thread-safe.
+/// The CBOR form of @p member in heartbeats. Thread-safe.
 QCborValue memberToCbor(const Member &member);
 
 /// Empty if @p value is not a well-formed entry. Thread-safe.
--- a/src/membership/MemberTable.cpp
+++ b/src/membership/MemberTable.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// Whole tables are gone through no more often.
+/// Minimum interval between two scans of the whole table.
 constexpr Milliseconds ExpiryInterval{1000};
 constexpr double MillisecondsPerSecond = 1000.0;
 
-/// A neighbour chosen newly has to choose this daemon too before it can be heard.
-constexpr Milliseconds NewNeighbourPromise{1500};
+/// Assumed until the first heartbeat of a new neighbour, which has to choose this daemon as its
+/// neighbour before it sends one.
+constexpr Milliseconds NewNeighbourHeartbeatInterval{1500};
 
-int rank(MemberState state)
+int statePrecedence(MemberState state)
 {
     switch (state) {
     case MemberState::Alive:
@@ -28,30 +29,34 @@
     return 3;
 }
 
-/// A word that this daemon is dead or suspect, or of a run of its VM that started after this
-/// one (its clock was ahead): a greater incarnation sets it right everywhere.
-void refute(MembershipState &state, const Member &said, MonotonicTime now, MembershipOutput &output)
+/// Handles an update about this daemon itself. If it reports this daemon dead or suspect, or has a
+/// greater incarnation because an earlier process of this VM ran with its clock ahead, this
+/// daemon announces a still greater incarnation, which supersedes the update everywhere.
+void refute(MembershipState &state, const Member &update, MonotonicTime now,
+            MembershipOutput &output)
 {
-    const bool calledGone = said.state == MemberState::Dead || said.state == MemberState::Suspect;
-    const bool newer = state.self.incarnation < said.incarnation;
-    const bool same = state.self.incarnation == said.incarnation;
-    if (!newer && !(same && calledGone)) {
-        if (calledGone)
+    const bool isFailureReport =
+        update.state == MemberState::Dead || update.state == MemberState::Suspect;
+    const bool isNewerIncarnation = state.self.incarnation < update.incarnation;
+    const bool isSameIncarnation = state.self.incarnation == update.incarnation;
+    if (!isNewerIncarnation && !(isSameIncarnation && isFailureReport)) {
+        if (isFailureReport)
             output.corrections.append(state.self);
         return;
     }
-    if (LargestIncarnation <= said.incarnation)
+    if (MaxIncarnation <= update.incarnation)
         return;
-    state.self.incarnation = said.incarnation + Incarnation(1);
+    state.self.incarnation = update.incarnation + Incarnation(1);
     announceSelf(state, now, output);
 }
 
-/// The first word of a listed member that all know of by the list. When a whole fleet starts,
-/// there are as many of them as daemons squared: they are not passed on.
-bool isFirstWord(const Member &said, const Member &known)
+/// True for the first update about a member that every daemon knows from the platform's list.
+/// These are not gossiped: when a whole fleet starts, their number is the square of the number of
+/// daemons.
+bool isFirstAnnouncement(const Member &update, const Member &known)
 {
     return known.incarnation == Incarnation() && known.state == MemberState::Alive
-        && said.state == MemberState::Alive;
+        && update.state == MemberState::Alive;
 }
 
 void addRecord(MembershipState &state, const Member &member, MonotonicTime now)
@@ -59,86 +64,87 @@
     MemberRecord record;
     record.member = member;
     record.lastHeard = now;
-    record.promised = NewNeighbourPromise;
-    record.stateSince = now;
+    record.announcedInterval = NewNeighbourHeartbeatInterval;
+    record.stateChangedAt = now;
     state.others.insert(member.vm, record);
     state.neighboursOutdated = true;
 }
 
 } // namespace
 
-bool replaces(const Member &said, const Member &known)
+bool supersedes(const Member &update, const Member &known)
 {
-    if (said.incarnation != known.incarnation)
-        return known.incarnation < said.incarnation;
-    return rank(said.state) > rank(known.state);
+    if (update.incarnation != known.incarnation)
+        return known.incarnation < update.incarnation;
+    return statePrecedence(update.state) > statePrecedence(known.state);
 }
 
-void fillAddress(Member &known, const Member &said, MembershipOutput &output)
+void fillMissingAddress(Member &known, const Member &update, MembershipOutput &output)
 {
-    if (known.peerPort != 0 || said.peerPort == 0)
+    if (known.peerPort != 0 || update.peerPort == 0)
         return;
-    known.address = said.address;
-    known.peerPort = said.peerPort;
-    known.dataCentre = said.dataCentre;
+    known.address = update.address;
+    known.peerPort = update.peerPort;
+    known.dataCentre = update.dataCentre;
     output.changes.append(known);
 }
 
-void takeWord(MembershipState &state, const Member &said, const VmId &from, MonotonicTime now,
-              MembershipOutput &output)
+void applyMemberUpdate(MembershipState &state, const Member &update, const VmId &from,
+                       MonotonicTime now, MembershipOutput &output)
 {
-    if (said.vm == state.self.vm) {
-        refute(state, said, now, output);
+    if (update.vm == state.self.vm) {
+        refute(state, update, now, output);
         return;
     }
-    const auto found = state.others.find(said.vm);
-    const bool passOn = found == state.others.end() || !isFirstWord(said, found->member);
+    const auto found = state.others.find(update.vm);
+    const bool shouldGossip =
+        found == state.others.end() || !isFirstAnnouncement(update, found->member);
     if (found == state.others.end()) {
-        if (state.others.size() >= state.settings.mostMembers)
+        if (state.others.size() >= state.settings.maxMembers)
             return;
-        addRecord(state, said, now);
-    } else if (replaces(said, found->member)) {
-        const bool restarted = found->member.incarnation < said.incarnation;
+        addRecord(state, update, now);
+    } else if (supersedes(update, found->member)) {
+        const bool hasRestarted = found->member.incarnation < update.incarnation;
         const bool wasDead = found->member.state == MemberState::Dead;
-        Member merged = said;
+        Member merged = update;
         if (merged.peerPort == 0) {
             merged.address = found->member.address;
             merged.peerPort = found->member.peerPort;
             merged.dataCentre = found->member.dataCentre;
         }
         found->member = merged;
-        found->stateSince = now;
-        if (restarted) {
-            found->heard = false;
-            state.suspicions.remove(said.vm);
+        found->stateChangedAt = now;
+        if (hasRestarted) {
+            found->hasBeenHeard = false;
+            state.suspicions.remove(update.vm);
         }
-        if (wasDead || said.state == MemberState::Dead)
+        if (wasDead || update.state == MemberState::Dead)
             state.neighboursOutdated = true;
         if (wasDead) {
             found->lastHeard = now;
-            found->promised = NewNeighbourPromise;
+            found->announcedInterval = NewNeighbourHeartbeatInterval;
         }
     } else {
         Member &known = found->member;
-        fillAddress(known, said, output);
-        if (known.incarnation == said.incarnation
-            && known.configurationVersion < said.configurationVersion) {
-            known.configurationVersion = said.configurationVersion;
+        fillMissingAddress(known, update, output);
+        if (known.incarnation == update.incarnation
+            && known.configurationVersion < update.configurationVersion) {
+            known.configurationVersion = update.configurationVersion;
             output.tableChanged = true;
         }
-        if (replaces(known, said) && !isFirstWord(known, said))
+        if (supersedes(known, update) && !isFirstAnnouncement(known, update))
             output.corrections.append(known);
         else
-            noteMemberKnown(state.gossip, said, from);
+            markMemberKnown(state.gossip, update, from);
         return;
     }
-    if (said.state == MemberState::Dead)
-        state.suspicions.remove(said.vm);
-    const Member &current = state.others[said.vm].member;
+    if (update.state == MemberState::Dead)
+        state.suspicions.remove(update.vm);
+    const Member &current = state.others[update.vm].member;
     output.changes.append(current);
-    if (!passOn)
+    if (!shouldGossip)
         return;
-    gossipMember(state.gossip, current, from, now, state.settings.gossipItems);
+    queueMemberUpdate(state.gossip, current, from, now, state.settings.maxGossipItems);
     output.urgent = true;
 }
 
@@ -151,17 +157,17 @@
     if (record.member.state == MemberState::Dead || memberState == MemberState::Dead)
         state.neighboursOutdated = true;
     record.member.state = memberState;
-    record.stateSince = now;
+    record.stateChangedAt = now;
     output.changes.append(record.member);
     if (memberState == MemberState::Suspect)
         return;
-    gossipMember(state.gossip, record.member, VmId(), now, state.settings.gossipItems);
+    queueMemberUpdate(state.gossip, record.member, VmId(), now, state.settings.maxGossipItems);
     output.urgent = true;
 }
 
 void announceSelf(MembershipState &state, MonotonicTime now, MembershipOutput &output)
 {
-    gossipMember(state.gossip, state.self, VmId(), now, state.settings.gossipItems);
+    queueMemberUpdate(state.gossip, state.self, VmId(), now, state.settings.maxGossipItems);
     output.changes.append(state.self);
     output.urgent = true;
 }
@@ -176,15 +182,17 @@
         if (record.member.state != MemberState::Dead)
             present.append(record.member.vm);
     }
-    const Neighbours before = state.neighbours;
-    state.neighbours = chooseNeighbours(state.self.vm, present, state.settings.fullMesh);
+    const Neighbours previous = state.neighbours;
+    state.neighbours = chooseNeighbours(state.self.vm, present, state.settings.fullMeshLimit);
     for (const VmId &vm : state.neighbours.all()) {
-        if (before.contains(vm) && before.ring.contains(vm) == state.neighbours.ring.contains(vm))
+        if (previous.contains(vm)
+            && previous.ring.contains(vm) == state.neighbours.ring.contains(vm))
             continue;
         MemberRecord &record = state.others[vm];
         record.lastHeard = now;
-        record.promised = std::max(record.promised, NewNeighbourPromise);
-        record.nextBeat = now;
+        record.announcedInterval =
+            std::max(record.announcedInterval, NewNeighbourHeartbeatInterval);
+        record.nextHeartbeatAt = now;
     }
 }
 
@@ -193,10 +201,12 @@
     if (now < state.nextExpiry)
         return;
     state.nextExpiry = now + ExpiryInterval;
-    for (auto guest = state.guests.begin(); guest != state.guests.end();)
-        guest = guest.value() < now ? state.guests.erase(guest) : std::next(guest);
+    for (auto inbound = state.inboundNeighbours.begin(); inbound != state.inboundNeighbours.end();)
+        inbound =
+            inbound.value() < now ? state.inboundNeighbours.erase(inbound) : std::next(inbound);
     for (auto entry = state.others.begin(); entry != state.others.end();) {
-        const Milliseconds age = std::chrono::duration_cast<Milliseconds>(now - entry->stateSince);
+        const Milliseconds age =
+            std::chrono::duration_cast<Milliseconds>(now - entry->stateChangedAt);
         const MemberState memberState = entry->member.state;
         if (memberState == MemberState::Dead && age > state.settings.deadRetention) {
             output.dropped.append(entry.key());
@@ -207,24 +217,25 @@
     }
 }
 
-Milliseconds heartbeatInterval(const MembershipState &state, const VmId &neighbour)
+Milliseconds heartbeatIntervalTo(const MembershipState &state, const VmId &neighbour)
 {
     const MembershipSettings &settings = state.settings;
-    const double periodic = settings.bytesPerSecond * settings.periodicShare;
-    const double wanted = double(settings.heartbeat.count());
-    // Both ways: what this daemon sends to a neighbour it gets from it as well.
-    const double perNeighbour = 2 * state.averageBytes * MillisecondsPerSecond;
+    const double periodicBytes = settings.bytesPerSecond * settings.periodicShare;
+    const double targetInterval = double(settings.heartbeatInterval.count());
+    // Counted twice: a neighbour sends as much to this daemon as this daemon sends to it.
+    const double perNeighbour = 2 * state.averageHeartbeatBytes * MillisecondsPerSecond;
     const double ringBytes = perNeighbour * double(state.neighbours.ring.size());
     const double fingerBytes = perNeighbour * double(state.neighbours.fingers.size());
-    if ((ringBytes + fingerBytes) / wanted <= periodic)
-        return settings.heartbeat;
-    // The ring keeps its pace as long as it leaves a tenth for the fingers.
+    if ((ringBytes + fingerBytes) / targetInterval <= periodicBytes)
+        return settings.heartbeatInterval;
+    // Ring neighbours keep the target interval as long as a tenth of the budget is left for
+    // fingers.
     constexpr double RingShare = 0.9;
-    const double ringInterval = std::max(wanted, ringBytes / (periodic * RingShare));
+    const double ringInterval = std::max(targetInterval, ringBytes / (periodicBytes * RingShare));
     if (!state.neighbours.fingers.contains(neighbour))
         return Milliseconds(qint64(ringInterval));
-    const double left = periodic - ringBytes / ringInterval;
-    return Milliseconds(qint64(std::max(wanted, fingerBytes / left)));
+    const double remainingBytes = periodicBytes - ringBytes / ringInterval;
+    return Milliseconds(qint64(std::max(targetInterval, fingerBytes / remainingBytes)));
 }
 
 } // namespace cranberry
--- a/src/membership/MemberTable.h
+++ b/src/membership/MemberTable.h
@@ -1,4 +1,3 @@
-// Defines how the table of members takes in what is said of a member.
 #pragma once
 
 #include "membership/MembershipOutput.h"
@@ -6,33 +5,36 @@
 
 namespace cranberry {
 
-/// True if @p said replaces @p known of the same VM: a greater incarnation does, and at an
-/// equal one Dead over Leaving over Suspect over Alive. Thread-safe.
-bool replaces(const Member &said, const Member &known);
+/// True if @p update supersedes @p known of the same VM. A greater incarnation supersedes; at equal
+/// incarnations the precedence is Dead, Leaving, Suspect, Alive. Thread-safe.
+bool supersedes(const Member &update, const Member &known);
 
-/// Completes a member that was heard before its address was known.
-void fillAddress(Member &known, const Member &said, MembershipOutput &output);
+/// Sets the address of @p known from @p update if it is still unknown, as it is for a member that
+/// sent a heartbeat before any entry with its address arrived.
+void fillMissingAddress(Member &known, const Member &update, MembershipOutput &output);
 
-/// Takes in what @p from said of @p said, passes it on if it is new, and refutes it if it is a
-/// wrong word of this daemon itself.
-void takeWord(MembershipState &state, const Member &said, const VmId &from, MonotonicTime now,
-              MembershipOutput &output);
+/// Merges @p update, received from @p from. A new update is queued for gossip. An update that
+/// reports this daemon suspect or dead is refuted.
+void applyMemberUpdate(MembershipState &state, const Member &update, const VmId &from,
+                       MonotonicTime now, MembershipOutput &output);
 
-/// Sets the state of a known member and passes it on, but for a suspicion: that is nobody
-/// else's matter until it is confirmed. Precondition: @p vm is in the table.
+/// Sets the state of a known member and queues it for gossip. A suspicion stays local until it is
+/// confirmed. Precondition: @p vm is in the table.
 void setMemberState(MembershipState &state, const VmId &vm, MemberState memberState,
                     MonotonicTime now, MembershipOutput &output);
 
-/// Passes on this daemon's own entry.
+/// Queues this daemon's own entry for gossip.
 void announceSelf(MembershipState &state, MonotonicTime now, MembershipOutput &output);
 
-/// Chooses neighbours anew if members came, died or were dropped.
+/// Recomputes the neighbours if members have joined, died or come back.
 void refreshNeighbours(MembershipState &state, MonotonicTime now);
 
-/// Drops members that have been dead for long.
+/// Drops members that have been dead for longer than MembershipSettings::deadRetention, and
+/// expired inbound neighbours.
 void expireMembers(MembershipState &state, MonotonicTime now, MembershipOutput &output);
 
-/// The interval to a ring neighbour or a finger that keeps to the bytes a second. Thread-safe.
-Milliseconds heartbeatInterval(const MembershipState &state, const VmId &neighbour);
+/// The heartbeat interval to @p neighbour, which may be a ring neighbour or a finger, within the
+/// budget of MembershipSettings::bytesPerSecond. Thread-safe.
+Milliseconds heartbeatIntervalTo(const MembershipState &state, const VmId &neighbour);
 
 } // namespace cranberry
--- a/src/membership/MemberView.h
+++ b/src/membership/MemberView.h
@@ -1,4 +1,3 @@
-// Defines MemberView, what one daemon knows of the others.
 #pragma once
 
 #include "base/Ids.h"
@@ -15,8 +14,8 @@
     Dead,
 };
 
-/// Far beyond any time in milliseconds, and one more still fits.
-constexpr Incarnation LargestIncarnation{Q_INT64_C(1) << 62};
+/// Greater than any time in milliseconds, and can be incremented without overflow.
+constexpr Incarnation MaxIncarnation{Q_INT64_C(1) << 62};
 
 struct Member {
     VmId vm;
@@ -28,8 +27,8 @@
     ConfigurationVersion configurationVersion;
 };
 
-/// Read access to the members. Membership only decides how well things go, never whether
-/// they are right: two daemons may hold different views at the same moment.
+/// One daemon's view of the fleet: read access to the members. Two daemons may hold different views
+/// at the same time, so membership may affect performance but correctness must not depend on it.
 /// Thread safety: thread-safe.
 class MemberView
 {
@@ -37,9 +36,9 @@
     virtual ~MemberView() = default;
 
     virtual VmId self() const = 0;
-    /// Everyone known, this daemon included, ordered by id.
+    /// All known members including this daemon, ordered by id.
     virtual QList<Member> members() const = 0;
-    /// Those in state Alive or Suspect, this daemon included, ordered by id.
+    /// Members in state Alive or Suspect, and this daemon unless it is leaving, ordered by id.
     virtual QList<Member> liveMembers() const = 0;
 };
 
--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -23,7 +23,7 @@
     return QRandomGenerator::global()->generate64();
 }
 
-/// Half to one and a half of @p delay.
+/// A random delay between 0.5 and 1.5 times @p delay.
 Milliseconds jittered(Milliseconds delay)
 {
     return Milliseconds(
@@ -37,7 +37,7 @@
     return member;
 }
 
-Member memberOf(const ListedVm &listed)
+Member memberFromListing(const ListedVm &listed)
 {
     Member member;
     member.vm = VmId(listed.vm);
@@ -69,9 +69,9 @@
     : m_timers(timers)
     , m_links(links)
     , m_platform(platform)
-    , m_state(makeMembership(withIncarnation(std::move(self)), settings, timers.now()))
-    , m_listRetry(settings.listRetryFirst)
-    , m_life(std::make_shared<bool>(true))
+    , m_state(makeMembershipState(withIncarnation(std::move(self)), settings, timers.now()))
+    , m_listRetryBackoff(settings.minListRetryBackoff)
+    , m_aliveToken(std::make_shared<bool>(true))
 {
     publish();
 }
@@ -87,7 +87,7 @@
 void Membership::start()
 {
     subscribe();
-    m_ticks = m_timers.every(TickInterval, [this] { tick(); });
+    m_tickTimer = m_timers.every(TickInterval, [this] { tick(); });
     listVms();
 }
 
@@ -118,16 +118,16 @@
 {
     apply(onTick(m_state, m_timers.now(), randomNumber()));
     const bool isolated = isIsolated(m_state, m_timers.now());
-    if (isolated && !m_isolated && !m_listing)
-        scheduleList(false);
-    m_isolated = isolated;
+    if (isolated && !m_wasIsolated && !m_isListing)
+        scheduleListing(false);
+    m_wasIsolated = isolated;
 }
 
 void Membership::apply(const MembershipOutput &output)
 {
-    if (output.urgent && !m_urgentTick) {
-        m_urgentTick = m_timers.after(Milliseconds(0), [this] {
-            m_urgentTick.reset();
+    if (output.urgent && !m_urgentTickTimer) {
+        m_urgentTickTimer = m_timers.after(Milliseconds(0), [this] {
+            m_urgentTickTimer.reset();
             tick();
         });
     }
@@ -140,7 +140,7 @@
     if (output.tableChanged || !output.changes.isEmpty() || !output.dropped.isEmpty())
         publish();
     send(output);
-    report(output);
+    notifyCallbacks(output);
 }
 
 void Membership::send(const MembershipOutput &output)
@@ -158,18 +158,18 @@
         if (m_creditsProvider) {
             const QCborMap credits = m_creditsProvider(message.to);
             const int bytes = int(credits.toCborValue().toCbor().size());
-            if (!credits.isEmpty() && bytes <= m_state.settings.creditBytes) {
+            if (!credits.isEmpty() && bytes <= m_state.settings.maxCreditBytes) {
                 heartbeat.credits = credits;
-                noteBytesSent(m_state, bytes);
+                recordBytesSent(m_state, bytes);
             }
         }
         m_links.send(message.to, PeerMessageKind::Heartbeat, heartbeatToCbor(heartbeat));
     }
 }
 
-void Membership::report(const MembershipOutput &output)
+void Membership::notifyCallbacks(const MembershipOutput &output)
 {
-    // A callback may add another one.
+    // Copied, since a callback may register another one.
     const std::vector<ChangeCallback> changeCallbacks = m_changeCallbacks;
     const std::vector<VersionCallback> versionCallbacks = m_versionCallbacks;
     for (const Member &member : output.changes) {
@@ -177,12 +177,12 @@
         for (const ChangeCallback &callback : changeCallbacks)
             callback(member);
     }
-    for (const HeardVersion &heard : output.versions) {
+    for (const PeerVersion &peerVersion : output.peerVersions) {
         for (const VersionCallback &callback : versionCallbacks)
-            callback(heard.from, heard.version);
+            callback(peerVersion.from, peerVersion.version);
     }
-    for (const NewsItem &item : output.news) {
-        const DeltaCallback callback = m_deltaCallbacks.value(int(item.kind));
+    for (const Broadcast &item : output.broadcasts) {
+        const BroadcastCallback callback = m_broadcastCallbacks.value(int(item.kind));
         if (callback)
             callback(item.origin, item.body);
     }
@@ -190,25 +190,25 @@
 
 void Membership::publish()
 {
-    QList<Member> everyone;
-    everyone.reserve(m_state.others.size() + 1);
+    QList<Member> allMembers;
+    allMembers.reserve(m_state.others.size() + 1);
     bool selfAdded = false;
     for (const MemberRecord &record : std::as_const(m_state.others)) {
         if (!selfAdded && m_state.self.vm < record.member.vm) {
-            everyone.append(m_state.self);
+            allMembers.append(m_state.self);
             selfAdded = true;
         }
-        everyone.append(record.member);
+        allMembers.append(record.member);
     }
     if (!selfAdded)
-        everyone.append(m_state.self);
-    QList<Member> live = everyone;
+        allMembers.append(m_state.self);
+    QList<Member> live = allMembers;
     live.removeIf([](const Member &member) {
         return member.state == MemberState::Leaving || member.state == MemberState::Dead;
     });
     const QMutexLocker lock(&m_publishedMutex);
-    m_published = std::move(everyone);
-    m_publishedLive = std::move(live);
+    m_publishedMembers = std::move(allMembers);
+    m_publishedLiveMembers = std::move(live);
 }
 
 VmId Membership::self() const
@@ -219,13 +219,13 @@
 QList<Member> Membership::members() const
 {
     const QMutexLocker lock(&m_publishedMutex);
-    return m_published;
+    return m_publishedMembers;
 }
 
 QList<Member> Membership::liveMembers() const
 {
     const QMutexLocker lock(&m_publishedMutex);
-    return m_publishedLive;
+    return m_publishedLiveMembers;
 }
 
 void Membership::setLeaving()
@@ -235,7 +235,7 @@
 
 void Membership::setConfigurationVersion(ConfigurationVersion version)
 {
-    apply(setOwnVersion(m_state, version));
+    apply(setOwnConfigurationVersion(m_state, version));
 }
 
 void Membership::onChange(ChangeCallback callback)
@@ -243,23 +243,23 @@
     m_changeCallbacks.push_back(std::move(callback));
 }
 
-void Membership::onVersionHeard(VersionCallback callback)
+void Membership::onNewerVersion(VersionCallback callback)
 {
     m_versionCallbacks.push_back(std::move(callback));
 }
 
-bool Membership::addDelta(PeerMessageKind kind, const QCborMap &body)
+bool Membership::broadcast(PeerMessageKind kind, const QCborMap &body)
 {
-    if (body.toCborValue().toCbor().size() > m_state.settings.newsBytes)
+    if (body.toCborValue().toCbor().size() > m_state.settings.maxBroadcastBytes)
         return false;
     const auto number = qint64((randomNumber() >> 1) | 1);
-    apply(addNews(m_state, kind, body, number, m_timers.now()));
+    apply(addBroadcast(m_state, kind, body, number, m_timers.now()));
     return true;
 }
 
-void Membership::onDelta(PeerMessageKind kind, DeltaCallback callback)
+void Membership::onBroadcast(PeerMessageKind kind, BroadcastCallback callback)
 {
-    m_deltaCallbacks[int(kind)] = std::move(callback);
+    m_broadcastCallbacks[int(kind)] = std::move(callback);
 }
 
 void Membership::setCreditsProvider(CreditsProvider provider)
@@ -274,41 +274,41 @@
 
 void Membership::listVms()
 {
-    m_nextList.reset();
-    m_listing = true;
+    m_listTimer.reset();
+    m_isListing = true;
     m_platform.listVms(
-        [this, life = std::weak_ptr<bool>(m_life)](const Result<QList<ListedVm>> &vms) {
-            if (life.expired())
+        [this, aliveToken = std::weak_ptr<bool>(m_aliveToken)](const Result<QList<ListedVm>> &vms) {
+            if (aliveToken.expired())
                 return;
-            m_listing = false;
+            m_isListing = false;
             if (vms)
-                takeSeeds(vms.value());
-            scheduleList(vms.has_value());
+                applyListedVms(vms.value());
+            scheduleListing(vms.has_value());
         });
 }
 
-void Membership::takeSeeds(const QList<ListedVm> &vms)
+void Membership::applyListedVms(const QList<ListedVm> &vms)
 {
     QList<Member> listed;
     for (const ListedVm &vm : vms)
-        listed.append(memberOf(vm));
-    apply(takeListedMembers(m_state, listed, m_timers.now()));
+        listed.append(memberFromListing(vm));
+    apply(applyListedMembers(m_state, listed, m_timers.now()));
 }
 
-void Membership::scheduleList(bool succeeded)
+void Membership::scheduleListing(bool succeeded)
 {
     const MembershipSettings &settings = m_state.settings;
     const bool alone = m_state.others.isEmpty() || isIsolated(m_state, m_timers.now());
     Milliseconds delay{0};
     if (succeeded && !alone) {
-        // Longer the more daemons there are, so that the calls of all stay the same.
+        // Proportional to the number of daemons, so that the call rate of the fleet is constant.
         delay = settings.fleetListInterval * (m_state.others.size() + 1);
-        m_listRetry = settings.listRetryFirst;
+        m_listRetryBackoff = settings.minListRetryBackoff;
     } else {
-        delay = m_listRetry;
-        m_listRetry = std::min(2 * m_listRetry, settings.listRetryLast);
+        delay = m_listRetryBackoff;
+        m_listRetryBackoff = std::min(2 * m_listRetryBackoff, settings.maxListRetryBackoff);
     }
-    m_nextList = m_timers.after(jittered(delay), [this] { listVms(); });
+    m_listTimer = m_timers.after(jittered(delay), [this] { listVms(); });
 }
 
 } // namespace cranberry
--- a/src/membership/MembershipMessages.cpp
+++ b/src/membership/MembershipMessages.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr qsizetype LongestText = 255;
-constexpr qsizetype MostItems = 256;
-constexpr qint64 LongestPromise = 600'000;
+constexpr qsizetype MaxTextLength = 255;
+constexpr qsizetype MaxListItems = 256;
+constexpr qint64 MaxHeartbeatIntervalMs = 600'000;
 
 /// Positions in the array of a member entry.
 enum EntryField {
@@ -24,26 +24,26 @@
     EntryDataCentre,
     EntryAddress,
     EntryPort,
-    EntryFields,
+    EntryFieldCount,
 };
 
-/// Positions in the array of a news item.
-enum NewsField {
-    NewsKind,
-    NewsOrigin,
-    NewsNumber,
-    NewsBody,
-    NewsFields,
+/// Positions in the array of a broadcast.
+enum BroadcastField {
+    BroadcastKind,
+    BroadcastOrigin,
+    BroadcastNumber,
+    BroadcastBody,
+    BroadcastFieldCount,
 };
 
-/// Keys of the messages; each number is a wire value.
+/// Keys of the message maps; each number is a wire value.
 enum HeartbeatKey {
     HeartbeatIncarnation = 1,
     HeartbeatVersion = 2,
     HeartbeatNext = 3,
     HeartbeatLeaving = 4,
     HeartbeatMembers = 5,
-    HeartbeatNews = 6,
+    HeartbeatBroadcasts = 6,
     HeartbeatCredits = 7,
 };
 
@@ -55,7 +55,7 @@
 
 bool isText(const QCborValue &value)
 {
-    return value.isString() && value.toString().size() <= LongestText;
+    return value.isString() && value.toString().size() <= MaxTextLength;
 }
 
 bool isName(const QCborValue &value)
@@ -63,23 +63,23 @@
     return isText(value) && !value.toString().isEmpty();
 }
 
-bool isCount(const QCborValue &value, qint64 largest = std::numeric_limits<qint64>::max())
+bool isCount(const QCborValue &value, qint64 max = std::numeric_limits<qint64>::max())
 {
-    return value.isInteger() && value.toInteger() >= 0 && value.toInteger() <= largest;
+    return value.isInteger() && value.toInteger() >= 0 && value.toInteger() <= max;
 }
 
 bool isIncarnation(const QCborValue &value)
 {
-    return isCount(value, LargestIncarnation.value());
+    return isCount(value, MaxIncarnation.value());
 }
 
-/// False if one of the items is malformed.
+/// Returns false if the list or one of its items is malformed.
 template <typename Item, typename Decode>
 bool decodeList(const QCborValue &value, Decode decode, QList<Item> &items)
 {
     if (value.isUndefined())
         return true;
-    if (!value.isArray() || value.toArray().size() > MostItems)
+    if (!value.isArray() || value.toArray().size() > MaxListItems)
         return false;
     const QCborArray array = value.toArray();
     for (const auto &element : array) {
@@ -109,7 +109,7 @@
 std::optional<Member> memberFromCbor(const QCborValue &value)
 {
     const QCborArray array = value.toArray();
-    if (array.size() != EntryFields || !isName(array.at(EntryVm))
+    if (array.size() != EntryFieldCount || !isName(array.at(EntryVm))
         || !isCount(array.at(EntryState), qint64(MemberState::Dead))
         || !isIncarnation(array.at(EntryIncarnation)) || !isCount(array.at(EntryVersion))
         || !isText(array.at(EntryDataCentre)) || !isText(array.at(EntryAddress))
@@ -126,7 +126,7 @@
     return member;
 }
 
-QCborValue newsToCbor(const NewsItem &item)
+QCborValue broadcastToCbor(const Broadcast &item)
 {
     QCborArray array;
     array.append(int(item.kind));
@@ -136,19 +136,19 @@
     return array;
 }
 
-std::optional<NewsItem> newsFromCbor(const QCborValue &value)
+std::optional<Broadcast> broadcastFromCbor(const QCborValue &value)
 {
     const QCborArray array = value.toArray();
-    if (array.size() != NewsFields
-        || !isCount(array.at(NewsKind), qint64(PeerMessageKind::TargetLeaving))
-        || !isName(array.at(NewsOrigin)) || !isCount(array.at(NewsNumber))
-        || !array.at(NewsBody).isMap())
+    if (array.size() != BroadcastFieldCount
+        || !isCount(array.at(BroadcastKind), qint64(PeerMessageKind::TargetLeaving))
+        || !isName(array.at(BroadcastOrigin)) || !isCount(array.at(BroadcastNumber))
+        || !array.at(BroadcastBody).isMap())
         return std::nullopt;
-    NewsItem item;
-    item.kind = PeerMessageKind(array.at(NewsKind).toInteger());
-    item.origin = VmId(array.at(NewsOrigin).toString());
-    item.number = array.at(NewsNumber).toInteger();
-    item.body = array.at(NewsBody).toMap();
+    Broadcast item;
+    item.kind = PeerMessageKind(array.at(BroadcastKind).toInteger());
+    item.origin = VmId(array.at(BroadcastOrigin).toString());
+    item.number = array.at(BroadcastNumber).toInteger();
+    item.body = array.at(BroadcastBody).toMap();
     return item;
 }
 
@@ -157,7 +157,7 @@
     QCborMap body;
     body.insert(HeartbeatIncarnation, message.incarnation.value());
     body.insert(HeartbeatVersion, message.configurationVersion.value());
-    body.insert(HeartbeatNext, qint64(message.next.count()));
+    body.insert(HeartbeatNext, qint64(message.nextInterval.count()));
     if (message.leaving)
         body.insert(HeartbeatLeaving, true);
     QCborArray members;
@@ -165,11 +165,11 @@
         members.append(memberToCbor(member));
     if (!members.isEmpty())
         body.insert(HeartbeatMembers, members);
-    QCborArray news;
-    for (const NewsItem &item : message.news)
-        news.append(newsToCbor(item));
-    if (!news.isEmpty())
-        body.insert(HeartbeatNews, news);
+    QCborArray broadcasts;
+    for (const Broadcast &item : message.broadcasts)
+        broadcasts.append(broadcastToCbor(item));
+    if (!broadcasts.isEmpty())
+        body.insert(HeartbeatBroadcasts, broadcasts);
     if (!message.credits.isEmpty())
         body.insert(HeartbeatCredits, message.credits);
     return body;
@@ -178,16 +178,16 @@
 std::optional<HeartbeatMessage> heartbeatFromCbor(const QCborMap &body)
 {
     if (!isIncarnation(body.value(HeartbeatIncarnation)) || !isCount(body.value(HeartbeatVersion))
-        || !isCount(body.value(HeartbeatNext), LongestPromise))
+        || !isCount(body.value(HeartbeatNext), MaxHeartbeatIntervalMs))
         return std::nullopt;
     HeartbeatMessage message;
     message.incarnation = Incarnation(body.value(HeartbeatIncarnation).toInteger());
     message.configurationVersion = ConfigurationVersion(body.value(HeartbeatVersion).toInteger());
-    message.next = Milliseconds(body.value(HeartbeatNext).toInteger());
+    message.nextInterval = Milliseconds(body.value(HeartbeatNext).toInteger());
     message.leaving = body.value(HeartbeatLeaving).toBool();
     message.credits = body.value(HeartbeatCredits).toMap();
     if (!decodeList(body.value(HeartbeatMembers), memberFromCbor, message.members)
-        || !decodeList(body.value(HeartbeatNews), newsFromCbor, message.news))
+        || !decodeList(body.value(HeartbeatBroadcasts), broadcastFromCbor, message.broadcasts))
         return std::nullopt;
     return message;
 }
--- a/src/membership/MembershipOutput.h
+++ b/src/membership/MembershipOutput.h
@@ -1,4 +1,3 @@
-// Defines MembershipOutput, what a membership decision asks the shell to do.
 #pragma once
 
 #include "membership/HeartbeatMessage.h"
@@ -18,24 +17,25 @@
     std::variant<HeartbeatMessage, ProbeMessage, ProbeAnswerMessage> content;
 };
 
-struct HeardVersion {
+struct PeerVersion {
     VmId from;
     ConfigurationVersion version;
 };
 
+/// Actions that a membership decision asks Membership to carry out.
 struct MembershipOutput {
     QList<OutgoingMessage> messages;
-    /// Members whose state, incarnation or address changed, as they are now.
+    /// Members whose state, incarnation or address changed, with their new values.
     QList<Member> changes;
-    /// Members that were dropped from the table.
+    /// Members that were removed from the table.
     QList<VmId> dropped;
-    QList<NewsItem> news;
-    QList<HeardVersion> versions;
-    /// Newer words for whoever told outdated ones.
+    QList<Broadcast> broadcasts;
+    QList<PeerVersion> peerVersions;
+    /// Newer entries to send to the sender of outdated ones.
     QList<Member> corrections;
-    /// What members() shows has changed.
+    /// The result of members() has changed.
     bool tableChanged = false;
-    /// Heartbeats should leave now rather than at the next tick.
+    /// Heartbeats should be sent now rather than at the next tick.
     bool urgent = false;
 };
 
--- a/src/membership/MembershipRules.cpp
+++ b/src/membership/MembershipRules.cpp
@@ -9,70 +9,72 @@
 
 namespace {
 
-constexpr int PlainHeartbeatBytes = 30;
-/// Weight of one heartbeat in the average of their sizes.
-constexpr double AverageWeight = 0.05;
-/// Seconds of the byte rate that may be saved up for urgent heartbeats.
-constexpr double AllowanceSeconds = 30;
-constexpr qsizetype MostRelays = 64;
-constexpr Milliseconds LongestGrace{30'000};
+constexpr int InitialHeartbeatBytes = 30;
+/// Weight of one heartbeat in the exponential moving average of heartbeat sizes.
+constexpr double SizeSmoothingFactor = 0.05;
+/// Seconds of the byte rate that the budget for urgent heartbeats can accumulate.
+constexpr double MaxBudgetSeconds = 30;
+constexpr qsizetype MaxRelayedProbes = 64;
+constexpr Milliseconds MaxGracePeriod{30'000};
 
 double seconds(MonotonicTime::duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
 
-void spend(MembershipState &state, int messageBytes)
+void chargeBudget(MembershipState &state, int messageBytes)
 {
     const double bytes = messageBytes + state.settings.headerBytes;
-    state.allowance -= bytes;
-    state.averageBytes += AverageWeight * (bytes - state.averageBytes);
+    state.urgentByteBudget -= bytes;
+    state.averageHeartbeatBytes += SizeSmoothingFactor * (bytes - state.averageHeartbeatBytes);
 }
 
-void refill(MembershipState &state, MonotonicTime::duration passed)
+void refillBudget(MembershipState &state, MonotonicTime::duration elapsed)
 {
     const double rate = state.settings.bytesPerSecond;
-    state.allowance = std::min(state.allowance + rate * seconds(passed), rate * AllowanceSeconds);
+    state.urgentByteBudget =
+        std::min(state.urgentByteBudget + rate * seconds(elapsed), rate * MaxBudgetSeconds);
 }
 
-/// This daemon stood still: its own timers are as late as the heartbeats it waits for. Judging
-/// now would call every neighbour dead, so all get the lost time back.
-void forgivePause(MembershipState &state, MonotonicTime::duration passed)
+/// Extends all deadlines by @p elapsed after this daemon's process was paused. Its timers are as
+/// late as the heartbeats that it waits for, so evaluating them now would declare every
+/// neighbour dead.
+void compensatePause(MembershipState &state, MonotonicTime::duration elapsed)
 {
     const MonotonicTime now = state.lastTick;
     for (MemberRecord &record : state.others)
-        record.lastHeard = std::min(record.lastHeard + passed, now);
-    state.lastHeardAnyone = std::min(state.lastHeardAnyone + passed, now);
+        record.lastHeard = std::min(record.lastHeard + elapsed, now);
+    state.lastMessageAt = std::min(state.lastMessageAt + elapsed, now);
     for (Suspicion &suspicion : state.suspicions)
-        suspicion.deadline += passed;
-    for (RelayedProbe &relay : state.relays)
-        relay.deadline += passed;
+        suspicion.deadline += elapsed;
+    for (RelayedProbe &relay : state.relayedProbes)
+        relay.deadline += elapsed;
 }
 
-HeartbeatMessage heartbeatTo(MembershipState &state, MemberRecord &record, MonotonicTime now)
+HeartbeatMessage makeHeartbeat(MembershipState &state, MemberRecord &record, MonotonicTime now)
 {
     HeartbeatMessage message;
     message.incarnation = state.self.incarnation;
     message.configurationVersion = state.self.configurationVersion;
     message.leaving = state.self.state == MemberState::Leaving;
-    message.next = heartbeatInterval(state, record.member.vm);
-    record.nextBeat = now + message.next;
-    // Until it was heard it may know neither this daemon nor its address.
-    if (!record.heard)
+    message.nextInterval = heartbeatIntervalTo(state, record.member.vm);
+    record.nextHeartbeatAt = now + message.nextInterval;
+    // A member that has not been heard may know neither this daemon nor its address.
+    if (!record.hasBeenHeard)
         message.members.append(state.self);
-    takeGossip(state.gossip, record.member.vm, state.settings.gossipBytes, message);
+    collectGossip(state.gossip, record.member.vm, state.settings.maxGossipBytes, message);
     return message;
 }
 
 void sendHeartbeat(MembershipState &state, MemberRecord &record, HeartbeatMessage message,
                    MembershipOutput &output)
 {
-    spend(state, int(heartbeatToCbor(message).toCborValue().toCbor().size()));
+    chargeBudget(state, int(heartbeatToCbor(message).toCborValue().toCbor().size()));
     output.messages.append({record.member.vm, std::move(message)});
 }
 
-/// One entry of the table in turn by chance: what some word did not reach is mended in time
-/// without a call to the platform.
+/// Adds one random entry of the table (anti-entropy), which repairs lost updates without a call
+/// to the platform.
 void addRandomEntry(const MembershipState &state, quint64 random, HeartbeatMessage &message)
 {
     if (state.others.isEmpty())
@@ -85,50 +87,56 @@
     message.members.append(member);
 }
 
-/// The neighbours and the guests: those too would suspect this daemon if it stayed silent.
+/// The neighbours and the inbound neighbours, which also suspect this daemon when its heartbeats
+/// are missing.
 QList<VmId> heartbeatReceivers(const MembershipState &state, MonotonicTime now)
 {
     QList<VmId> receivers = state.neighbours.all();
-    for (auto guest = state.guests.constBegin(); guest != state.guests.constEnd(); ++guest) {
-        const auto record = state.others.constFind(guest.key());
-        if (now < guest.value() && record != state.others.constEnd()
-            && record->member.state != MemberState::Dead && !state.neighbours.contains(guest.key()))
-            receivers.append(guest.key());
+    for (auto inbound = state.inboundNeighbours.constBegin();
+         inbound != state.inboundNeighbours.constEnd(); ++inbound) {
+        const auto record = state.others.constFind(inbound.key());
+        if (now < inbound.value() && record != state.others.constEnd()
+            && record->member.state != MemberState::Dead
+            && !state.neighbours.contains(inbound.key()))
+            receivers.append(inbound.key());
     }
     return receivers;
 }
 
-void sendDue(MembershipState &state, MonotonicTime now, quint64 random, MembershipOutput &output)
+void sendDueHeartbeats(MembershipState &state, MonotonicTime now, quint64 random,
+                       MembershipOutput &output)
 {
     for (const VmId &vm : heartbeatReceivers(state, now)) {
         MemberRecord &record = state.others[vm];
-        const bool due = now >= record.nextBeat;
-        const bool urgent = state.allowance > 0 && gossipWaits(state.gossip, vm);
-        if (!due && !urgent)
+        const bool isDue = now >= record.nextHeartbeatAt;
+        const bool urgent = state.urgentByteBudget > 0 && hasPendingGossip(state.gossip, vm);
+        if (!isDue && !urgent)
             continue;
-        HeartbeatMessage message = heartbeatTo(state, record, now);
-        if (due && !state.neighbours.ring.contains(vm))
+        HeartbeatMessage message = makeHeartbeat(state, record, now);
+        if (isDue && !state.neighbours.ring.contains(vm))
             addRandomEntry(state, random, message);
         sendHeartbeat(state, record, std::move(message), output);
     }
 }
 
-/// It goes on as before it was called dead and cannot know: tell it, so that it refutes.
-void tellItIsDead(MembershipState &state, MemberRecord &record, MonotonicTime now,
-                  MembershipOutput &output)
+/// Sends the member its own Dead entry. It may be running without knowing that it was declared
+/// dead, and refutes the entry when it receives it.
+void notifyDeadMember(MembershipState &state, MemberRecord &record, MonotonicTime now,
+                      MembershipOutput &output)
 {
-    HeartbeatMessage message = heartbeatTo(state, record, now);
+    HeartbeatMessage message = makeHeartbeat(state, record, now);
     message.members.prepend(record.member);
     sendHeartbeat(state, record, std::move(message), output);
 }
 
-/// After a partition each side has the other for dead and would never speak to it again.
+/// Contacts one random dead member per interval. After a network partition each side has declared
+/// the other dead, and without this they would never exchange heartbeats again.
 void contactDead(MembershipState &state, MonotonicTime now, quint64 random,
                  MembershipOutput &output)
 {
     if (now < state.nextDeadContact)
         return;
-    state.nextDeadContact = now + state.settings.deadContact;
+    state.nextDeadContact = now + state.settings.deadContactInterval;
     QList<VmId> dead;
     for (const MemberRecord &record : std::as_const(state.others)) {
         if (record.member.state == MemberState::Dead)
@@ -137,102 +145,105 @@
     if (dead.isEmpty())
         return;
     MemberRecord &record = state.others[dead[qsizetype(random % quint64(dead.size()))]];
-    tellItIsDead(state, record, now, output);
+    notifyDeadMember(state, record, now, output);
 }
 
-/// Takes the sender's own state from its heartbeat. False if it is called dead here.
-bool takeSender(MembershipState &state, const VmId &from, const HeartbeatMessage &message,
-                MonotonicTime now, MembershipOutput &output)
+/// Applies the sender's own state from its heartbeat. Returns false if this daemon has declared
+/// it dead or does not keep it in the table.
+bool applySenderState(MembershipState &state, const VmId &from, const HeartbeatMessage &message,
+                      MonotonicTime now, MembershipOutput &output)
 {
-    Member said;
+    Member update;
     const auto known = state.others.constFind(from);
     if (known != state.others.constEnd())
-        said = known->member;
-    said.vm = from;
-    said.incarnation = message.incarnation;
-    said.configurationVersion = message.configurationVersion;
-    said.state = message.leaving ? MemberState::Leaving : MemberState::Alive;
-    if (known == state.others.constEnd() || replaces(said, known->member))
-        takeWord(state, said, from, now, output);
-    const auto taken = state.others.find(from);
-    if (taken == state.others.end())
+        update = known->member;
+    update.vm = from;
+    update.incarnation = message.incarnation;
+    update.configurationVersion = message.configurationVersion;
+    update.state = message.leaving ? MemberState::Leaving : MemberState::Alive;
+    if (known == state.others.constEnd() || supersedes(update, known->member))
+        applyMemberUpdate(state, update, from, now, output);
+    const auto senderEntry = state.others.find(from);
+    if (senderEntry == state.others.end())
         return false;
-    MemberRecord &record = *taken;
+    MemberRecord &record = *senderEntry;
     if (record.member.state == MemberState::Dead) {
-        tellItIsDead(state, record, now, output);
+        notifyDeadMember(state, record, now, output);
         return false;
     }
-    // Heard itself, it is no longer suspect here.
+    // A heartbeat from the member itself ends the suspicion on this daemon.
     clearSuspicion(state, from, now, output);
     if (record.member.configurationVersion != message.configurationVersion)
         output.tableChanged = true;
     record.member.configurationVersion = message.configurationVersion;
     record.lastHeard = now;
-    record.promised = message.next;
-    record.grace = Milliseconds(0);
-    record.heard = true;
+    record.announcedInterval = message.nextInterval;
+    record.gracePeriod = Milliseconds(0);
+    record.hasBeenHeard = true;
     if (!state.neighbours.contains(from))
-        state.guests.insert(from, now + state.settings.missedHeartbeats * message.next);
+        state.inboundNeighbours.insert(
+            from, now + state.settings.missedHeartbeatLimit * message.nextInterval);
     return true;
 }
 
-/// Whoever spreads an outdated word missed the newer one.
-void correct(MembershipState &state, const VmId &to, MonotonicTime now, MembershipOutput &output)
+/// Sends newer entries to a member that sent outdated ones.
+void sendCorrections(MembershipState &state, const VmId &to, MonotonicTime now,
+                     MembershipOutput &output)
 {
     if (output.corrections.isEmpty())
         return;
     MemberRecord &record = state.others[to];
-    HeartbeatMessage message = heartbeatTo(state, record, now);
+    HeartbeatMessage message = makeHeartbeat(state, record, now);
     message.members.append(output.corrections);
     sendHeartbeat(state, record, std::move(message), output);
 }
 
-void takeNews(MembershipState &state, const QList<NewsItem> &news, const VmId &from,
-              MonotonicTime now, MembershipOutput &output)
+void applyBroadcasts(MembershipState &state, const QList<Broadcast> &broadcasts, const VmId &from,
+                     MonotonicTime now, MembershipOutput &output)
 {
-    for (const NewsItem &item : news) {
-        if (!gossipNews(state.gossip, item, from, now, state.settings.gossipItems)
+    for (const Broadcast &item : broadcasts) {
+        if (!queueBroadcast(state.gossip, item, from, now, state.settings.maxGossipItems)
             || item.origin == state.self.vm)
             continue;
-        output.news.append(item);
+        output.broadcasts.append(item);
         output.urgent = true;
     }
 }
 
 } // namespace
 
-MembershipState makeMembership(const Member &self, const MembershipSettings &settings,
-                               MonotonicTime now)
+MembershipState makeMembershipState(const Member &self, const MembershipSettings &settings,
+                                    MonotonicTime now)
 {
     MembershipState state;
     state.settings = settings;
     state.self = self;
     state.lastTick = now;
-    state.lastHeardAnyone = now;
-    state.averageBytes = settings.headerBytes + PlainHeartbeatBytes;
-    state.allowance = settings.bytesPerSecond * AllowanceSeconds;
+    state.lastMessageAt = now;
+    state.averageHeartbeatBytes = settings.headerBytes + InitialHeartbeatBytes;
+    state.urgentByteBudget = settings.bytesPerSecond * MaxBudgetSeconds;
     return state;
 }
 
-MembershipOutput takeListedMembers(MembershipState &state, const QList<Member> &listed,
-                                   MonotonicTime now)
+MembershipOutput applyListedMembers(MembershipState &state, const QList<Member> &listed,
+                                    MonotonicTime now)
 {
     MembershipOutput output;
     for (const Member &member : listed) {
         if (member.vm == state.self.vm)
             continue;
         const auto known = state.others.find(member.vm);
-        const bool neverSpoke = known != state.others.end()
+        const bool wasNeverHeard = known != state.others.end()
             && known->member.incarnation == Incarnation()
             && known->member.state == MemberState::Dead;
-        if (neverSpoke)
+        if (wasNeverHeard)
             state.others.erase(known);
-        if (neverSpoke || known == state.others.end())
-            takeWord(state, member, VmId(), now, output);
+        if (wasNeverHeard || known == state.others.end())
+            applyMemberUpdate(state, member, VmId(), now, output);
         else
-            fillAddress(known->member, member, output);
+            fillMissingAddress(known->member, member, output);
     }
-    // Everyone reads that list: there is no need to pass it on.
+    // Every daemon reads the same list, so entries from it are not gossiped.
     state.gossip.items.removeIf([](const GossipItem &item) {
         const auto *member = std::get_if<Member>(&item.content);
         return member && member->incarnation == Incarnation() && member->state != MemberState::Dead;
@@ -244,20 +255,20 @@
 MembershipOutput onTick(MembershipState &state, MonotonicTime now, quint64 random)
 {
     MembershipOutput output;
-    const auto passed = now - state.lastTick;
+    const auto elapsed = now - state.lastTick;
     state.lastTick = now;
-    if (passed > state.settings.heartbeat)
-        forgivePause(state, passed);
-    refill(state, passed);
+    if (elapsed > state.settings.heartbeatInterval)
+        compensatePause(state, elapsed);
+    refillBudget(state, elapsed);
     expireMembers(state, now, output);
     refreshNeighbours(state, now);
-    endRelays(state, VmId(), now, output);
-    endProbes(state, now, random, output);
-    suspectSilent(state, now, random, output);
+    expireRelayedProbes(state, VmId(), now, output);
+    finishProbeRounds(state, now, random, output);
+    suspectSilentNeighbours(state, now, random, output);
     refreshNeighbours(state, now);
-    sendDue(state, now, random, output);
+    sendDueHeartbeats(state, now, random, output);
     contactDead(state, now, random, output);
-    trimGossip(state.gossip, state.neighbours.all(), now, state.settings.gossipLife);
+    pruneGossip(state.gossip, state.neighbours.all(), now, state.settings.gossipLifetime);
     return output;
 }
 
@@ -265,16 +276,16 @@
                              const HeartbeatMessage &message, int bytes, MonotonicTime now)
 {
     MembershipOutput output;
-    spend(state, bytes);
-    state.lastHeardAnyone = now;
+    chargeBudget(state, bytes);
+    state.lastMessageAt = now;
     for (const Member &member : message.members)
-        takeWord(state, member, from, now, output);
-    const bool present = takeSender(state, from, message, now, output);
-    takeNews(state, message.news, from, now, output);
-    if (present)
-        correct(state, from, now, output);
-    if (present && state.self.configurationVersion < message.configurationVersion)
-        output.versions.append({from, message.configurationVersion});
+        applyMemberUpdate(state, member, from, now, output);
+    const bool isSenderLive = applySenderState(state, from, message, now, output);
+    applyBroadcasts(state, message.broadcasts, from, now, output);
+    if (isSenderLive)
+        sendCorrections(state, from, now, output);
+    if (isSenderLive && state.self.configurationVersion < message.configurationVersion)
+        output.peerVersions.append({from, message.configurationVersion});
     return output;
 }
 
@@ -282,15 +293,15 @@
                          MonotonicTime now)
 {
     MembershipOutput output;
-    state.lastHeardAnyone = now;
+    state.lastMessageAt = now;
     if (message.target == state.self.vm) {
         output.messages.append(
             {from, ProbeAnswerMessage{state.self.vm, true, state.self.incarnation}});
         return output;
     }
-    if (!state.others.contains(message.target) || state.relays.size() >= MostRelays)
+    if (!state.others.contains(message.target) || state.relayedProbes.size() >= MaxRelayedProbes)
         return output;
-    state.relays.append({from, message.target, now + state.settings.relayTimeout});
+    state.relayedProbes.append({from, message.target, now + state.settings.relayTimeout});
     output.messages.append({message.target, ProbeMessage{message.target}});
     return output;
 }
@@ -299,12 +310,12 @@
                                const ProbeAnswerMessage &message, MonotonicTime now)
 {
     MembershipOutput output;
-    state.lastHeardAnyone = now;
+    state.lastMessageAt = now;
     if (message.reached) {
-        state.relays.removeIf([&](const RelayedProbe &relay) {
+        state.relayedProbes.removeIf([&](const RelayedProbe &relay) {
             if (relay.target != message.target)
                 return false;
-            output.messages.append({relay.origin, message});
+            output.messages.append({relay.requester, message});
             return true;
         });
     }
@@ -312,14 +323,16 @@
     if (suspicion == state.suspicions.end())
         return output;
     if (!message.reached) {
-        ++suspicion->unreached;
+        ++suspicion->unreachableReports;
         return output;
     }
     MemberRecord &record = state.others[message.target];
     record.lastHeard = now;
-    // Others reach it and this daemon does not: do not ask again with each missed heartbeat.
+    // Other members reach it and this daemon does not. The grace period avoids a new probe after
+    // each missed heartbeat.
     if (from != message.target)
-        record.grace = std::clamp(2 * record.grace, record.promised, LongestGrace);
+        record.gracePeriod =
+            std::clamp(2 * record.gracePeriod, record.announcedInterval, MaxGracePeriod);
     clearSuspicion(state, message.target, now, output);
     return output;
 }
@@ -330,7 +343,7 @@
     MembershipOutput output;
     if (!state.others.contains(vm))
         return output;
-    endRelays(state, vm, now, output);
+    expireRelayedProbes(state, vm, now, output);
     if (state.neighbours.contains(vm))
         suspect(state, vm, now, random, output);
     return output;
@@ -344,40 +357,40 @@
     return output;
 }
 
-MembershipOutput setOwnVersion(MembershipState &state, ConfigurationVersion version)
+MembershipOutput setOwnConfigurationVersion(MembershipState &state, ConfigurationVersion version)
 {
     MembershipOutput output;
     if (version <= state.self.configurationVersion)
         return output;
     state.self.configurationVersion = version;
     output.tableChanged = true;
-    if (state.allowance > 0) {
+    if (state.urgentByteBudget > 0) {
         for (const VmId &vm : state.neighbours.all())
-            state.others[vm].nextBeat = MonotonicTime();
+            state.others[vm].nextHeartbeatAt = MonotonicTime();
     }
     output.urgent = true;
     return output;
 }
 
-MembershipOutput addNews(MembershipState &state, PeerMessageKind kind, const QCborMap &body,
-                         qint64 number, MonotonicTime now)
+MembershipOutput addBroadcast(MembershipState &state, PeerMessageKind kind, const QCborMap &body,
+                              qint64 number, MonotonicTime now)
 {
     MembershipOutput output;
-    const NewsItem item{kind, state.self.vm, number, body};
-    gossipNews(state.gossip, item, VmId(), now, state.settings.gossipItems);
+    const Broadcast item{kind, state.self.vm, number, body};
+    queueBroadcast(state.gossip, item, VmId(), now, state.settings.maxGossipItems);
     output.urgent = true;
     return output;
 }
 
-void noteBytesSent(MembershipState &state, int bytes)
+void recordBytesSent(MembershipState &state, int bytes)
 {
-    state.allowance -= bytes;
-    state.averageBytes += AverageWeight * bytes;
+    state.urgentByteBudget -= bytes;
+    state.averageHeartbeatBytes += SizeSmoothingFactor * bytes;
 }
 
 bool isIsolated(const MembershipState &state, MonotonicTime now)
 {
-    return now - state.lastHeardAnyone > state.settings.isolated;
+    return now - state.lastMessageAt > state.settings.isolationTimeout;
 }
 
 } // namespace cranberry
--- a/src/membership/MembershipRules.h
+++ b/src/membership/MembershipRules.h
@@ -1,4 +1,3 @@
-// Defines the rules of membership: from a state and an event to a new state and messages.
 #pragma once
 
 #include "membership/MembershipOutput.h"
@@ -9,24 +8,26 @@
 
 namespace cranberry {
 
-// Each function changes only its state; time and random numbers are passed in. They may be
-// called from any thread that owns the state.
+// The membership rules: each function maps a state and an event to a new state and messages.
+// Each function changes only the state passed to it; time and random numbers are arguments.
+// Thread safety: the caller must own the state.
 
-/// The state of a daemon that knows nobody yet. Precondition: @p self names its VM and has an
-/// incarnation over 0.
-MembershipState makeMembership(const Member &self, const MembershipSettings &settings,
-                               MonotonicTime now);
+/// The state of a daemon that knows no other member. Precondition: @p self has a VM id and an
+/// incarnation greater than 0.
+MembershipState makeMembershipState(const Member &self, const MembershipSettings &settings,
+                                    MonotonicTime now);
 
-/// Takes @p listed, of the platform's list of VMs, as alive until they prove silent. The list
-/// lags, so it never changes what is known of a member.
-MembershipOutput takeListedMembers(MembershipState &state, const QList<Member> &listed,
-                                   MonotonicTime now);
+/// Adds the members of @p listed, the platform's list of VMs, as alive until heartbeats are
+/// missing. The list lags, so it changes no known member, except that one declared dead without
+/// ever having been heard is added again.
+MembershipOutput applyListedMembers(MembershipState &state, const QList<Member> &listed,
+                                    MonotonicTime now);
 
-/// Sends what is due, suspects who was silent, ends probes. To be called about each tenth of
-/// a second, and at once after an output that is urgent.
+/// Sends due heartbeats, suspects silent neighbours and finishes probe rounds. To be called about
+/// every 100 ms, and at once after an urgent output.
 MembershipOutput onTick(MembershipState &state, MonotonicTime now, quint64 random);
 
-/// @p bytes is the size of the message without headers.
+/// Handles a heartbeat from @p from. @p bytes is the size of the message without headers.
 MembershipOutput onHeartbeat(MembershipState &state, const VmId &from,
                              const HeartbeatMessage &message, int bytes, MonotonicTime now);
 
@@ -36,22 +37,22 @@
 MembershipOutput onProbeAnswer(MembershipState &state, const VmId &from,
                                const ProbeAnswerMessage &message, MonotonicTime now);
 
-/// The link to @p vm broke or could not be made: it is probed at once.
+/// Handles a link to @p vm that broke or could not be established: a neighbour is probed at once.
 MembershipOutput onLinkLost(MembershipState &state, const VmId &vm, MonotonicTime now,
                             quint64 random);
 
 MembershipOutput leave(MembershipState &state, MonotonicTime now);
 
-MembershipOutput setOwnVersion(MembershipState &state, ConfigurationVersion version);
+MembershipOutput setOwnConfigurationVersion(MembershipState &state, ConfigurationVersion version);
 
-/// Queues news of this daemon for everyone. @p number is random and not 0.
-MembershipOutput addNews(MembershipState &state, PeerMessageKind kind, const QCborMap &body,
-                         qint64 number, MonotonicTime now);
+/// Queues a broadcast of this daemon to all members. @p number is random and not 0.
+MembershipOutput addBroadcast(MembershipState &state, PeerMessageKind kind, const QCborMap &body,
+                              qint64 number, MonotonicTime now);
 
-/// Counts @p bytes that were sent with a heartbeat beside what onTick put into it.
-void noteBytesSent(MembershipState &state, int bytes);
+/// Charges @p bytes that were added to a heartbeat after onTick() charged its size.
+void recordBytesSent(MembershipState &state, int bytes);
 
-/// True if others are known, or none at all, and nobody was heard for a while.
+/// True if no message was received for longer than MembershipSettings::isolationTimeout.
 bool isIsolated(const MembershipState &state, MonotonicTime now);
 
 } // namespace cranberry
--- a/src/membership/MembershipSettings.h
+++ b/src/membership/MembershipSettings.h
@@ -1,53 +1,54 @@
-// Defines MembershipSettings, the pace and the bounds of membership.
 #pragma once
 
 #include "base/Units.h"
 
 namespace cranberry {
 
+/// Intervals, timeouts and limits of membership.
 struct MembershipSettings {
-    /// Between two heartbeats to a ring neighbour, unless the budget asks for more.
-    Milliseconds heartbeat{500};
+    /// Interval of heartbeats to a ring neighbour; longer if bytesPerSecond requires it.
+    Milliseconds heartbeatInterval{500};
     /// Heartbeats that may be missed before a member is suspected.
-    int missedHeartbeats = 3;
-    /// How long a suspect may take to answer a probe, directly or through another member.
+    int missedHeartbeatLimit = 3;
+    /// Timeout of a probe round, for direct answers and for those through another member.
     Milliseconds probeTimeout{1000};
-    /// How long a member that probes for another waits; shorter than probeTimeout.
+    /// Timeout of a probe on behalf of another member; shorter than probeTimeout.
     Milliseconds relayTimeout{600};
-    /// Rounds of probes without any answer, even of those asked to probe, before a member is
-    /// taken for dead.
+    /// Probe rounds without any answer, also from the helpers, before a member is declared dead.
     int probeRounds = 3;
-    /// For all heartbeats of a daemon, both ways, headers included.
+    /// Budget for all heartbeats that a daemon sends and receives, headers included.
     int bytesPerSecond = 1450;
-    /// Share of bytesPerSecond that periodic heartbeats take; the rest is for urgent ones.
+    /// Share of bytesPerSecond for periodic heartbeats; the rest is for urgent ones.
     double periodicShare = 0.95;
-    /// Headers of one message: IP and TCP with timestamps (52) for its segment and for the
-    /// acknowledgement, and the websocket's (8).
+    /// Header bytes per message: 52 of IP and TCP with timestamps for its segment, the same for
+    /// the acknowledgement, and 8 of the websocket.
     int headerBytes = 112;
-    /// Up to so many others every other member is a neighbour.
-    int fullMesh = 12;
-    /// Others that are remembered at most, whatever is said.
-    int mostMembers = 4096;
-    /// Bounds of what one heartbeat carries beside its fixed part.
-    int gossipBytes = 1200;
-    int creditBytes = 256;
-    /// Largest body of one news item.
-    int newsBytes = 256;
-    /// News and entries that wait to be passed on.
-    int gossipItems = 256;
-    /// How long an item is passed on at most.
-    Milliseconds gossipLife{60'000};
-    /// Between two heartbeats to members that are taken for dead, one at a time: after a partition
-    /// somebody has to speak first.
-    Milliseconds deadContact{10'000};
-    /// How long a dead member is remembered, so that late news of it are known to be old.
+    /// With up to this many other members, all of them are neighbours.
+    int fullMeshLimit = 12;
+    /// Maximum number of other members in the table; updates about further ones are ignored.
+    int maxMembers = 4096;
+    /// Limits of the variable parts of one heartbeat.
+    int maxGossipBytes = 1200;
+    int maxCreditBytes = 256;
+    /// Largest encoded body of one broadcast.
+    int maxBroadcastBytes = 256;
+    /// Maximum number of queued broadcasts and member entries.
+    int maxGossipItems = 256;
+    /// Age at which an undelivered item is dropped from the queue.
+    Milliseconds gossipLifetime{60'000};
+    /// Interval of heartbeats to members that were declared dead, one random member at a time. They
+    /// let the two sides of a healed network partition find each other again.
+    Milliseconds deadContactInterval{10'000};
+    /// How long a dead member stays in the table, so that late updates about it are recognized as
+    /// outdated.
     Milliseconds deadRetention{600'000};
-    /// All daemons together read the list of VMs about once in this time.
+    /// All daemons together read the list of VMs about once per this interval.
     Milliseconds fleetListInterval{10'000};
-    Milliseconds listRetryFirst{500};
-    Milliseconds listRetryLast{300'000};
-    /// Nothing heard for so long: this daemon is isolated and asks the platform again.
-    Milliseconds isolated{5000};
+    Milliseconds minListRetryBackoff{500};
+    Milliseconds maxListRetryBackoff{300'000};
+    /// Without any message for this long, a daemon counts as isolated and reads the list of VMs
+    /// again.
+    Milliseconds isolationTimeout{5000};
 };
 
 } // namespace cranberry
--- a/src/membership/MembershipState.h
+++ b/src/membership/MembershipState.h
@@ -1,4 +1,3 @@
-// Defines MembershipState, all that one daemon's membership remembers.
 #pragma once
 
 #include "membership/GossipQueue.h"
@@ -11,59 +10,62 @@
 
 namespace cranberry {
 
-/// What is known of one other member.
+/// The state of one other member as known to this daemon.
 struct MemberRecord {
     Member member;
-    /// Last direct word of it, or the time from which one is due.
+    /// When it was last heard directly, or when this daemon began to expect its heartbeats.
     MonotonicTime lastHeard;
-    /// Its promise of the time to its next heartbeat.
-    Milliseconds promised{0};
-    /// Further silence granted after others reached it and this daemon did not.
-    Milliseconds grace{0};
+    /// Time to its next heartbeat, as announced in its last one.
+    Milliseconds announcedInterval{0};
+    /// Added to the silence timeout after other members reached it and this daemon did not.
+    Milliseconds gracePeriod{0};
     /// When this daemon's next heartbeat to it is due.
-    MonotonicTime nextBeat;
-    MonotonicTime stateSince;
-    /// True once it was heard directly in its present incarnation.
-    bool heard = false;
+    MonotonicTime nextHeartbeatAt;
+    MonotonicTime stateChangedAt;
+    /// True once a heartbeat of its present incarnation was received.
+    bool hasBeenHeard = false;
 };
 
 /// A member that this daemon is probing.
 struct Suspicion {
-    MonotonicTime since;
+    MonotonicTime startedAt;
+    /// End of the present probe round.
     MonotonicTime deadline;
     int round = 1;
-    int helpers = 0;
-    int unreached = 0;
+    /// Helpers asked in the present round, and how many of them could not reach the member.
+    int helperCount = 0;
+    int unreachableReports = 0;
 };
 
 /// A probe on behalf of another member.
 struct RelayedProbe {
-    VmId origin;
+    VmId requester;
     VmId target;
     MonotonicTime deadline;
 };
 
-/// A plain value; the functions of MembershipRules.h change it.
+/// The complete membership state of one daemon. A value type, changed by the functions of
+/// MembershipRules.h.
 struct MembershipState {
     MembershipSettings settings;
     Member self;
     QMap<VmId, MemberRecord> others;
     Neighbours neighbours;
-    /// Members whose view differs: they have this daemon for a neighbour, and so wait for its
-    /// heartbeats, until the given time.
-    QMap<VmId, MonotonicTime> guests;
+    /// Members that have this daemon as a neighbour because their view differs, but are not its
+    /// neighbours. They expect its heartbeats until the given time.
+    QMap<VmId, MonotonicTime> inboundNeighbours;
     bool neighboursOutdated = true;
     GossipQueue gossip;
     QMap<VmId, Suspicion> suspicions;
-    QList<RelayedProbe> relays;
+    QList<RelayedProbe> relayedProbes;
     MonotonicTime lastTick;
-    MonotonicTime lastHeardAnyone;
+    MonotonicTime lastMessageAt;
     MonotonicTime nextDeadContact;
     MonotonicTime nextExpiry;
-    /// Bytes that may be spent now on urgent heartbeats; negative after spending more.
-    double allowance = 0;
-    /// Average bytes of a heartbeat with headers.
-    double averageBytes = 0;
+    /// Bytes available for urgent heartbeats; negative once heartbeats have exceeded the rate.
+    double urgentByteBudget = 0;
+    /// Moving average of the size of a heartbeat with headers.
+    double averageHeartbeatBytes = 0;
 };
 
 } // namespace cranberry
--- a/src/membership/Neighbours.cpp
+++ b/src/membership/Neighbours.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-constexpr qsizetype FirstFinger = 4;
-constexpr qsizetype FingerRatio = 4;
+constexpr qsizetype FirstFingerDistance = 4;
+constexpr qsizetype FingerDistanceRatio = 4;
 
-/// All members, @p self first, in the order of the ring.
-QList<VmId> ringFrom(const VmId &self, const QList<VmId> &others)
+/// All members in ring order, starting at @p self.
+QList<VmId> orderRingFrom(const VmId &self, const QList<VmId> &others)
 {
     std::vector<std::pair<QByteArray, VmId>> ranked;
-    const QList<VmId> everyone = others + QList<VmId>{self};
-    ranked.reserve(size_t(everyone.size()));
-    for (const VmId &vm : everyone) {
+    const QList<VmId> allMembers = others + QList<VmId>{self};
+    ranked.reserve(size_t(allMembers.size()));
+    for (const VmId &vm : allMembers) {
         const QByteArray text = vm.text().toUtf8();
         ranked.emplace_back(QCryptographicHash::hash(text, QCryptographicHash::Sha1), vm);
     }
     std::sort(ranked.begin(), ranked.end());
-    const auto own = std::find_if(ranked.begin(), ranked.end(),
-                                  [&](const auto &entry) { return entry.second == self; });
-    std::rotate(ranked.begin(), own, ranked.end());
+    const auto ownEntry = std::find_if(ranked.begin(), ranked.end(),
+                                       [&](const auto &entry) { return entry.second == self; });
+    std::rotate(ranked.begin(), ownEntry, ranked.end());
     QList<VmId> ring;
     for (const auto &entry : ranked)
         ring.append(entry.second);
@@ -35,10 +35,10 @@
 
 } // namespace
 
-Neighbours chooseNeighbours(const VmId &self, const QList<VmId> &others, int fullMesh)
+Neighbours chooseNeighbours(const VmId &self, const QList<VmId> &others, int fullMeshLimit)
 {
     Neighbours result;
-    const QList<VmId> ring = ringFrom(self, others);
+    const QList<VmId> ring = orderRingFrom(self, others);
     const qsizetype size = ring.size();
     const auto add = [&](QList<VmId> &list, qsizetype distance) {
         const VmId &vm = ring[distance];
@@ -49,12 +49,13 @@
         add(result.ring, 1);
         add(result.ring, size - 1);
     }
-    if (others.size() <= fullMesh) {
+    if (others.size() <= fullMeshLimit) {
         for (qsizetype distance = 2; distance < size; ++distance)
             add(result.fingers, distance);
         return result;
     }
-    for (qsizetype distance = FirstFinger; distance <= size / 2; distance *= FingerRatio) {
+    for (qsizetype distance = FirstFingerDistance; distance <= size / 2;
+         distance *= FingerDistanceRatio) {
         add(result.fingers, distance);
         add(result.fingers, size - distance);
     }
--- a/src/membership/NewsItem.h
+++ b/src/membership/NewsItem.h
@@ -1,4 +1,3 @@
-// Defines NewsItem, what another aggregate tells all daemons through heartbeats.
 #pragma once
 
 #include "base/Ids.h"
@@ -11,18 +10,19 @@
 
 namespace cranberry {
 
-struct NewsItem {
+/// A message of another component to all daemons, carried by heartbeats.
+struct Broadcast {
     PeerMessageKind kind = PeerMessageKind::Quarantine;
     VmId origin;
-    /// Random and never 0; a daemon takes each number once.
+    /// Random and never 0; a daemon delivers each number once.
     qint64 number = 0;
     QCborMap body;
 };
 
 /// Thread-safe.
-QCborValue newsToCbor(const NewsItem &item);
+QCborValue broadcastToCbor(const Broadcast &item);
 
-/// Empty if @p value is not a well-formed item. Thread-safe.
-std::optional<NewsItem> newsFromCbor(const QCborValue &value);
+/// Empty if @p value is not a well-formed broadcast. Thread-safe.
+std::optional<Broadcast> broadcastFromCbor(const QCborValue &value);
 
 } // namespace cranberry
--- a/src/membership/ProbeAnswerMessage.h
+++ b/src/membership/ProbeAnswerMessage.h
@@ -1,4 +1,3 @@
-// Defines ProbeAnswerMessage, what became of a probe.
 #pragma once
 
 #include "base/Ids.h"
@@ -10,10 +9,11 @@
 
 namespace cranberry {
 
+/// The result of a probe.
 struct ProbeAnswerMessage {
     VmId target;
     bool reached = false;
-    /// Of the target, if reached.
+    /// Incarnation of the target, if it was reached.
     Incarnation incarnation;
 };
 
--- a/src/membership/ProbeMessage.h
+++ b/src/membership/ProbeMessage.h
@@ -1,4 +1,3 @@
-// Defines ProbeMessage, which asks a member whether it, or another, is alive.
 #pragma once
 
 #include "base/Ids.h"
@@ -9,8 +8,9 @@
 
 namespace cranberry {
 
+/// Asks a member whether it or another member is alive.
 struct ProbeMessage {
-    /// The receiver, or whom the receiver is asked to probe.
+    /// The receiver itself, or the member that the receiver is asked to probe.
     VmId target;
 };
 
--- a/src/membership/RendezvousHash.cpp
+++ b/src/membership/RendezvousHash.cpp
@@ -28,11 +28,11 @@
     ranked.reserve(size_t(members.size()));
     for (const VmId &member : members)
         ranked.emplace_back(rank(key, member), member);
-    const size_t wanted = std::min(ranked.size(), size_t(std::max(count, 0)));
-    std::partial_sort(ranked.begin(), ranked.begin() + qsizetype(wanted), ranked.end(),
+    const size_t limit = std::min(ranked.size(), size_t(std::max(count, 0)));
+    std::partial_sort(ranked.begin(), ranked.begin() + qsizetype(limit), ranked.end(),
                       [](const auto &a, const auto &b) { return b < a; });
     QList<VmId> order;
-    for (size_t i = 0; i < wanted; ++i)
+    for (size_t i = 0; i < limit; ++i)
         order.append(ranked[i].second);
     return order;
 }
--- a/src/membership/RendezvousHash.h
+++ b/src/membership/RendezvousHash.h
@@ -1,4 +1,3 @@
-// Defines rendezvous hashing: who of the live members looks after a key.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,11 +6,11 @@
 
 namespace cranberry {
 
-/// The member that @p key hashes to; removing another member never moves the key. Empty if
-/// @p members is empty. The same on every daemon and machine. Thread-safe.
+/// Assigns @p key to the member with the highest rank for @p key. Removing another member never
+/// moves the key. Empty if @p members is empty. The same on every daemon. Thread-safe.
 VmId rendezvousOwner(const QString &key, const QList<VmId> &members);
 
-/// The first @p count members in the order of their rank for @p key. Thread-safe.
+/// The @p count members of highest rank for @p key, highest first. Thread-safe.
 QList<VmId> rendezvousOrder(const QString &key, const QList<VmId> &members, int count);
 
 } // namespace cranberry
--- a/test/correctness/MembershipRules.cpp
+++ b/test/correctness/MembershipRules.cpp
@@ -41,7 +41,7 @@
             listed.append(member(i));
         for (int i = 0; i < count; ++i) {
             start(i, 1000 + i);
-            apply(listed[i].vm, takeListedMembers(states.at(listed[i].vm), listed, now));
+            apply(listed[i].vm, applyListedMembers(states.at(listed[i].vm), listed, now));
         }
     }
 
@@ -49,7 +49,7 @@
     {
         Member self = member(i);
         self.incarnation = Incarnation(incarnation);
-        states[self.vm] = makeMembership(self, settings, now);
+        states[self.vm] = makeMembershipState(self, settings, now);
     }
 
     void apply(const VmId &vm, const MembershipOutput &output)
@@ -60,7 +60,7 @@
                     + settings.headerBytes;
             next.push_back({vm, message});
         }
-        for (const NewsItem &item : output.news)
+        for (const Broadcast &item : output.broadcasts)
             news[vm].append(item);
         for (const Member &change : output.changes) {
             if (change.state == MemberState::Dead && change.incarnation > Incarnation())
@@ -138,7 +138,7 @@
     std::vector<std::pair<VmId, OutgoingMessage>> next;
     std::set<VmId> silent;
     std::set<std::pair<VmId, VmId>> cut;
-    std::map<VmId, QList<NewsItem>> news;
+    std::map<VmId, QList<Broadcast>> news;
     std::map<VmId, qint64> bytes;
     double loss = 0;
     int deaths = 0;
@@ -164,7 +164,7 @@
                 if (j != i)
                     others.append(vm(j));
             }
-            all[vm(i)] = chooseNeighbours(vm(i), others, MembershipSettings().fullMesh);
+            all[vm(i)] = chooseNeighbours(vm(i), others, MembershipSettings().fullMeshLimit);
         }
         for (const auto &[self, neighbours] : all) {
             BOOST_TEST(neighbours.all().size() <= 12);
@@ -321,8 +321,8 @@
     Exchange exchange(40);
     exchange.run(Settling);
     exchange.apply(vm(5),
-                   addNews(exchange.states.at(vm(5)), PeerMessageKind::TargetLeaving,
-                           {{1, QStringLiteral("t1")}}, 77, exchange.now));
+                   addBroadcast(exchange.states.at(vm(5)), PeerMessageKind::TargetLeaving,
+                                {{1, QStringLiteral("t1")}}, 77, exchange.now));
     exchange.run(Milliseconds(5000));
     for (int i = 0; i < 40; ++i)
         BOOST_TEST(exchange.news[vm(i)].size() == (i == 5 ? 0 : 1));
@@ -332,7 +332,8 @@
 {
     Exchange exchange(9);
     exchange.run(Settling);
-    exchange.apply(vm(4), setOwnVersion(exchange.states.at(vm(4)), ConfigurationVersion(12)));
+    exchange.apply(vm(4),
+                   setOwnConfigurationVersion(exchange.states.at(vm(4)), ConfigurationVersion(12)));
     const auto known = [&] {
         for (int i = 0; i < 9; ++i) {
             if (i != 4
@@ -351,7 +352,7 @@
     exchange.run(Settling);
     exchange.start(6, 900'000);
     QList<Member> listed{member(0), member(1)};
-    exchange.apply(vm(6), takeListedMembers(exchange.states.at(vm(6)), listed, exchange.now));
+    exchange.apply(vm(6), applyListedMembers(exchange.states.at(vm(6)), listed, exchange.now));
     const auto replaced = [&] {
         for (int i = 0; i < 9; ++i) {
             const Member seen = exchange.states.at(vm(i)).others.value(vm(6)).member;
@@ -395,14 +396,14 @@
     Member known = member(1);
     known.incarnation = Incarnation(5);
     Member said = known;
-    BOOST_TEST(!replaces(said, known));
+    BOOST_TEST(!supersedes(said, known));
     said.state = MemberState::Suspect;
-    BOOST_TEST(replaces(said, known));
+    BOOST_TEST(supersedes(said, known));
     said.incarnation = Incarnation(4);
     said.state = MemberState::Dead;
-    BOOST_TEST(!replaces(said, known));
+    BOOST_TEST(!supersedes(said, known));
     known.state = MemberState::Dead;
     said.incarnation = Incarnation(6);
     said.state = MemberState::Alive;
-    BOOST_TEST(replaces(said, known));
+    BOOST_TEST(supersedes(said, known));
 }
--- a/test/error/PeerMessages.cpp
+++ b/test/error/PeerMessages.cpp
@@ -45,7 +45,7 @@
         case 2:
             return std::numeric_limits<qint64>::min() + below(3);
         case 3:
-            return LargestIncarnation.value() + below(3) - 1;
+            return MaxIncarnation.value() + below(3) - 1;
         default:
             return qint64(m_random());
         }
@@ -134,15 +134,15 @@
     HeartbeatMessage message;
     message.incarnation = Incarnation(100 + generator.below(3));
     message.configurationVersion = ConfigurationVersion(generator.below(5));
-    message.next = Milliseconds(generator.below(2000));
+    message.nextInterval = Milliseconds(generator.below(2000));
     for (int i = 0; i < 4; ++i) {
         Member one = member(generator.below(6));
         one.state = MemberState(generator.below(4));
         one.incarnation = Incarnation(99 + generator.below(8));
         message.members.append(one);
     }
-    message.news.append({PeerMessageKind::TargetLeaving, VmId(QStringLiteral("vm2")),
-                         1 + generator.below(1000), generator.map(1)});
+    message.broadcasts.append({PeerMessageKind::TargetLeaving, VmId(QStringLiteral("vm2")),
+                               1 + generator.below(1000), generator.map(1)});
     message.credits = generator.map(1);
     return message;
 }
@@ -152,9 +152,9 @@
     Receiver()
     {
         MembershipSettings settings;
-        settings.mostMembers = 50;
-        state = makeMembership(member(0), settings, Start);
-        takeListedMembers(state, {member(1), member(2)}, Start);
+        settings.maxMembers = 50;
+        state = makeMembershipState(member(0), settings, Start);
+        applyListedMembers(state, {member(1), member(2)}, Start);
     }
 
     void take(const QCborMap &body, Generator &generator)
@@ -171,8 +171,8 @@
             onProbeAnswer(state, from, *answer, now);
         quarantine.takeNews(body, now);
         onTick(state, now, quint64(generator.number()));
-        withinBounds = withinBounds && state.others.size() <= state.settings.mostMembers
-            && state.gossip.items.size() <= state.settings.gossipItems
+        withinBounds = withinBounds && state.others.size() <= state.settings.maxMembers
+            && state.gossip.items.size() <= state.settings.maxGossipItems
             && Incarnation() < state.self.incarnation;
     }
 
--- a/test/failure/MembershipLinks.cpp
+++ b/test/failure/MembershipLinks.cpp
@@ -101,22 +101,22 @@
     int credits = 0;
     for (const std::unique_ptr<PeerDaemon> &daemon : daemons) {
         const VmId vm = daemon->vm();
-        daemon->membership->onVersionHeard(
+        daemon->membership->onNewerVersion(
             [&versions, vm](const VmId &, ConfigurationVersion v) { versions[vm] = v; });
-        daemon->membership->onDelta(PeerMessageKind::Quarantine,
-                                    [&news, vm](const VmId &origin, const QCborMap &body) {
-                                        news[vm] += origin == numberedVm(3)
-                                            && body.value(1).toString() == QStringLiteral("print");
-                                    });
+        daemon->membership->onBroadcast(
+            PeerMessageKind::Quarantine, [&news, vm](const VmId &origin, const QCborMap &body) {
+                news[vm] +=
+                    origin == numberedVm(3) && body.value(1).toString() == QStringLiteral("print");
+            });
     }
     daemons[0]->membership->onCredits(
         [&](const VmId &, const QCborMap &body) { credits += int(body.value(1).toInteger()); });
     daemons[3]->membership->setCreditsProvider([](const VmId &) { return QCborMap{{1, 5}}; });
     daemons[3]->membership->setConfigurationVersion(ConfigurationVersion(8));
-    BOOST_TEST(daemons[3]->membership->addDelta(PeerMessageKind::Quarantine,
-                                                {{1, QStringLiteral("print")}}));
-    BOOST_TEST(!daemons[3]->membership->addDelta(PeerMessageKind::Quarantine,
-                                                 {{1, QByteArray(500, 'x')}}));
+    BOOST_TEST(daemons[3]->membership->broadcast(PeerMessageKind::Quarantine,
+                                                 {{1, QStringLiteral("print")}}));
+    BOOST_TEST(!daemons[3]->membership->broadcast(PeerMessageKind::Quarantine,
+                                                  {{1, QByteArray(500, 'x')}}));
     BOOST_REQUIRE(test::waitFor(
         [&] { return news.size() == Count - 1 && versions.size() == Count - 1 && credits > 0; }));
     for (const auto &[vm, count] : news)
