--- a/src/claims/Claim.h
+++ b/src/claims/Claim.h
@@ -1,4 +1,3 @@
-// Defines Claim, the record that a request which must run at most once was taken on.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,16 +6,17 @@
 
 namespace cranberry {
 
+/// Records that one attempt may run a request which must run at most once.
 struct Claim {
     /// SHA-256 of workspace and idempotency key.
     QByteArray key;
-    /// Tells a repeat of the request from another one under the same key.
+    /// Distinguishes a repeated request from a different request with the same key.
     QByteArray fingerprint;
-    /// The one send that the claim allows.
+    /// The only attempt that the claim allows to send the request.
     AttemptId attempt;
-    /// The entry VM that may send it.
+    /// The entry VM that may send the request.
     VmId vm;
-    /// Wall-clock time of the claim in milliseconds since 1970; only for people.
+    /// Wall-clock time of the claim in milliseconds since 1970; informational only.
     qint64 timeMs = 0;
 
     friend bool operator==(const Claim &a, const Claim &b)
--- a/src/claims/ClaimCodec.cpp
+++ b/src/claims/ClaimCodec.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Positions in the array of a claim; an array, as each write carries a whole segment of them.
+/// Positions in the array of a claim. An array is smaller than a map, and each write carries a
+/// whole segment of claims.
 enum ClaimField {
     KeyField,
     FingerprintField,
--- a/src/claims/ClaimCodec.h
+++ b/src/claims/ClaimCodec.h
@@ -1,4 +1,3 @@
-// Defines the CBOR form of a claim, in segments and in messages between daemons.
 #pragma once
 
 #include "claims/Claim.h"
@@ -10,7 +9,7 @@
 
 namespace cranberry {
 
-/// Thread-safe.
+/// The CBOR encoding of @p claim in segments and in messages between daemons. Thread-safe.
 QCborArray claimToCbor(const Claim &claim);
 
 /// Empty if @p value is not well formed. Thread-safe.
--- a/src/claims/ClaimCounts.h
+++ b/src/claims/ClaimCounts.h
@@ -1,17 +1,17 @@
-// Defines ClaimCounts, what claims cost the platform's service.
 #pragma once
 
 #include <QtGlobal>
 
 namespace cranberry {
 
+/// Calls on the platform's store and outcomes of claims.
 struct ClaimCounts {
     qint64 reads = 0;
     qint64 writes = 0;
-    /// Claims that this daemon wrote, for itself or for others.
+    /// Claims that this daemon wrote, for itself or for other daemons.
     qint64 won = 0;
     qint64 held = 0;
-    /// Claims whose outcome could not be settled in time or that the service did not take.
+    /// Claims that the store did not accept or whose outcome could not be determined in time.
     qint64 unavailable = 0;
 
     ClaimCounts &operator+=(const ClaimCounts &other)
--- a/src/claims/ClaimGathering.cpp
+++ b/src/claims/ClaimGathering.cpp
@@ -8,8 +8,8 @@
 
 namespace cranberry {
 
-ClaimGathering::ClaimGathering(PeerNetwork &peers, TimerService &timers, const MemberView &members,
-                               const ClaimSettings &settings, ShardOf shardOf)
+ClaimForwarder::ClaimForwarder(PeerNetwork &peers, TimerService &timers, const MemberView &members,
+                               const ClaimSettings &settings, ShardLookup shardOf)
     : m_peers(peers)
     , m_timers(timers)
     , m_members(members)
@@ -19,18 +19,18 @@
     peers.subscribe(PeerMessageKind::ClaimRequest,
                     m_life.wrap([this](const VmId &from, const QCborMap &body) {
                         if (const auto message = claimRequestFromCbor(body))
-                            requested(from, *message);
+                            onClaimRequest(from, *message);
                     }));
     peers.subscribe(PeerMessageKind::ClaimAnswer,
                     m_life.wrap([this](const VmId &, const QCborMap &body) {
                         if (const auto message = claimAnswerFromCbor(body))
-                            answered(*message);
+                            onClaimAnswer(*message);
                     }));
 }
 
-ClaimGathering::~ClaimGathering() = default;
+ClaimForwarder::~ClaimForwarder() = default;
 
-VmId ClaimGathering::gathererOf(const Claim &claim) const
+VmId ClaimForwarder::coordinatorOf(const Claim &claim) const
 {
     QList<VmId> vms;
     for (const Member &member : m_members.liveMembers())
@@ -38,37 +38,37 @@
     return rendezvousOwner(claimHeadKey(shardOfClaim(claim.key)), vms);
 }
 
-void ClaimGathering::claim(const Claim &claim, ClaimShard::Callback callback)
+void ClaimForwarder::claim(const Claim &claim, ClaimShard::Callback callback)
 {
-    const VmId gatherer = gathererOf(claim);
-    if (gatherer.isEmpty() || gatherer == m_members.self()) {
+    const VmId coordinator = coordinatorOf(claim);
+    if (coordinator.isEmpty() || coordinator == m_members.self()) {
         m_shardOf(claim.key).submit({ClaimOperation::Kind::Claim, claim}, true,
                                     std::move(callback));
         return;
     }
     const AttemptId attempt = claim.attempt;
-    // Without the window on top, every claim of a busy shard would be written twice.
-    const Milliseconds patience =
-        m_settings.gathererTimeout + m_windows[size_t(shardOfClaim(claim.key))];
-    auto timeout = m_timers.after(patience, [this, attempt] { claimDirectly(attempt); });
-    m_asked[attempt] = {claim, std::move(callback), std::move(timeout)};
-    if (!m_peers.send(gatherer, PeerMessageKind::ClaimRequest, claimRequestToCbor({claim})))
+    // Without the added window, every claim of a busy shard would be written twice.
+    const Milliseconds answerTimeout =
+        m_settings.coordinatorTimeout + m_windows[size_t(shardOfClaim(claim.key))];
+    auto timeout = m_timers.after(answerTimeout, [this, attempt] { claimDirectly(attempt); });
+    m_pendingRequests[attempt] = {claim, std::move(callback), std::move(timeout)};
+    if (!m_peers.send(coordinator, PeerMessageKind::ClaimRequest, claimRequestToCbor({claim})))
         claimDirectly(attempt);
 }
 
-void ClaimGathering::claimDirectly(const AttemptId &attempt)
+void ClaimForwarder::claimDirectly(const AttemptId &attempt)
 {
-    const Asked asked = std::move(m_asked.at(attempt));
-    m_asked.erase(asked.claim.attempt);
-    m_shardOf(asked.claim.key)
-        .submit({ClaimOperation::Kind::Claim, asked.claim}, false,
-                [callback = asked.callback](ClaimOutcome outcome) {
-                    outcome.mayStand = true; // the gatherer may write it yet
+    const PendingRequest pending = std::move(m_pendingRequests.at(attempt));
+    m_pendingRequests.erase(pending.claim.attempt);
+    m_shardOf(pending.claim.key)
+        .submit({ClaimOperation::Kind::Claim, pending.claim}, false,
+                [callback = pending.callback](ClaimOutcome outcome) {
+                    outcome.mayBeStored = true; // the coordinator may still write it
                     callback(outcome);
                 });
 }
 
-void ClaimGathering::requested(const VmId &from, const ClaimRequestMessage &message)
+void ClaimForwarder::onClaimRequest(const VmId &from, const ClaimRequestMessage &message)
 {
     if (message.claim.vm != from)
         return;
@@ -82,21 +82,21 @@
                 });
 }
 
-// An answer that comes after the direct way was taken finds nobody waiting: the outcome of the
-// direct way is the one that counts, and it finds the gatherer's write in the service.
-void ClaimGathering::answered(const ClaimAnswerMessage &message)
+// An answer that arrives after claimDirectly() finds no pending request. The outcome of the direct
+// write is reported, and that write finds what the coordinator wrote in the store.
+void ClaimForwarder::onClaimAnswer(const ClaimAnswerMessage &message)
 {
     m_windows[size_t(message.shard)] = message.window;
-    const auto found = m_asked.find(message.attempt);
-    if (found == m_asked.end())
+    const auto found = m_pendingRequests.find(message.attempt);
+    if (found == m_pendingRequests.end())
         return;
     if (message.outcome.kind == ClaimOutcome::Kind::Unavailable) {
         claimDirectly(message.attempt);
         return;
     }
-    const Asked asked = std::move(found->second);
-    m_asked.erase(found);
-    asked.callback(message.outcome);
+    const PendingRequest pending = std::move(found->second);
+    m_pendingRequests.erase(found);
+    pending.callback(message.outcome);
 }
 
 } // namespace cranberry
--- a/src/claims/ClaimGathering.h
+++ b/src/claims/ClaimGathering.h
@@ -1,4 +1,3 @@
-// Defines ClaimGathering, which lets one daemon write the claims of a shard for the others.
 #pragma once
 
 #include "claims/ClaimMessages.h"
@@ -17,46 +16,49 @@
 class TimerService;
 class TimerSubscription;
 
-/// Rendezvous hashing of the live members names the gatherer of each shard. It saves writes
-/// and decides nothing: two may gather at once, and one that does not answer in time is passed
-/// by. It never gives a claim back, since the entry daemon may have found that claim standing
-/// and sent its request meanwhile.
+/// Lets one daemon, the coordinator, write the claims of a shard for the others.
+/// Rendezvous hashing over the live members selects the coordinator of each shard, which batches
+/// the claims of all daemons. Coordinators reduce the number of writes and are not needed for
+/// correctness: a shard may have two at the same time, and a daemon writes its claim itself if
+/// the coordinator does not answer in time. A coordinator never releases a claim, since the entry
+/// daemon may have found that claim stored and sent its request meanwhile.
 /// Thread safety: only from the thread of the event loop.
-class ClaimGathering
+class ClaimForwarder
 {
 public:
-    using ShardOf = std::function<ClaimShard &(const QByteArray &claimKey)>;
+    using ShardLookup = std::function<ClaimShard &(const QByteArray &claimKey)>;
 
-    /// All but @p shardOf outlive the gathering. Subscribes to ClaimRequest and ClaimAnswer.
-    ClaimGathering(PeerNetwork &peers, TimerService &timers, const MemberView &members,
-                   const ClaimSettings &settings, ShardOf shardOf);
-    ~ClaimGathering();
-    ClaimGathering(const ClaimGathering &) = delete;
-    ClaimGathering &operator=(const ClaimGathering &) = delete;
+    /// All arguments but @p shardOf outlive the forwarder. Subscribes to ClaimRequest and
+    /// ClaimAnswer.
+    ClaimForwarder(PeerNetwork &peers, TimerService &timers, const MemberView &members,
+                   const ClaimSettings &settings, ShardLookup shardOf);
+    ~ClaimForwarder();
+    ClaimForwarder(const ClaimForwarder &) = delete;
+    ClaimForwarder &operator=(const ClaimForwarder &) = delete;
 
-    /// Has @p claim written by the gatherer of its shard or, if that does not answer in time or
-    /// cannot, by this daemon. Calls back once.
+    /// Has @p claim written by the coordinator of its shard or, if the coordinator does not answer
+    /// in time or reports Unavailable, by this daemon. Calls @p callback once.
     void claim(const Claim &claim, ClaimShard::Callback callback);
 
 private:
-    struct Asked {
+    struct PendingRequest {
         Claim claim;
         ClaimShard::Callback callback;
         std::unique_ptr<TimerSubscription> timeout;
     };
 
-    VmId gathererOf(const Claim &claim) const;
+    VmId coordinatorOf(const Claim &claim) const;
     void claimDirectly(const AttemptId &attempt);
-    void requested(const VmId &from, const ClaimRequestMessage &message);
-    void answered(const ClaimAnswerMessage &message);
+    void onClaimRequest(const VmId &from, const ClaimRequestMessage &message);
+    void onClaimAnswer(const ClaimAnswerMessage &message);
 
     PeerNetwork &m_peers;
     TimerService &m_timers;
     const MemberView &m_members;
     const ClaimSettings &m_settings;
-    ShardOf m_shardOf;
-    std::map<AttemptId, Asked> m_asked;
-    /// By shard, how long its gatherer last said that it holds claims.
+    ShardLookup m_shardOf;
+    std::map<AttemptId, PendingRequest> m_pendingRequests;
+    /// By shard, the batch window that its coordinator reported last.
     std::array<Milliseconds, ClaimShardCount> m_windows{};
     internal::LifeGuard m_life;
 };
--- a/src/claims/ClaimKeyAge.cpp
+++ b/src/claims/ClaimKeyAge.cpp
@@ -8,7 +8,7 @@
 
 constexpr int UnixTimeVersion = 7;
 constexpr int VersionShift = 12;
-constexpr int LowTimeBits = 16;
+constexpr int TimestampLowBits = 16;
 
 } // namespace
 
@@ -18,7 +18,7 @@
     if (uuid.isNull() || uuid.variant() != QUuid::DCE
         || uuid.data3 >> VersionShift != UnixTimeVersion)
         return std::nullopt;
-    return qint64(uuid.data1) << LowTimeBits | uuid.data2;
+    return qint64(uuid.data1) << TimestampLowBits | uuid.data2;
 }
 
 bool isBeyondRetention(const QByteArray &idempotencyKey, qint64 nowMs, std::chrono::hours retention)
--- a/src/claims/ClaimMessages.cpp
+++ b/src/claims/ClaimMessages.cpp
@@ -16,8 +16,8 @@
     ShardMember = 6,
 };
 
-/// No gatherer makes others wait for longer, whatever it says.
-constexpr qint64 LongestWindowMs = 1000;
+/// Maximum batch window accepted from a coordinator, since it lengthens the timeout of requests.
+constexpr qint64 MaxBatchWindowMs = 1000;
 
 enum WireKind {
     DoneKind = 1,
@@ -25,7 +25,7 @@
     UnavailableKind = 3,
 };
 
-int wireKind(ClaimOutcome::Kind kind)
+int kindToWire(ClaimOutcome::Kind kind)
 {
     switch (kind) {
     case ClaimOutcome::Kind::Done:
@@ -38,7 +38,7 @@
     return UnavailableKind;
 }
 
-std::optional<ClaimOutcome::Kind> kindOnWire(qint64 kind)
+std::optional<ClaimOutcome::Kind> kindFromWire(qint64 kind)
 {
     switch (kind) {
     case DoneKind:
@@ -70,7 +70,7 @@
 QCborMap claimAnswerToCbor(const ClaimAnswerMessage &message)
 {
     QCborMap body{{int(AttemptMember), message.attempt.text()},
-                  {int(KindMember), wireKind(message.outcome.kind)},
+                  {int(KindMember), kindToWire(message.outcome.kind)},
                   {int(ShardMember), message.shard},
                   {int(WindowMember), qint64(message.window.count())}};
     if (message.outcome.kind == ClaimOutcome::Kind::Held)
@@ -80,11 +80,11 @@
 
 std::optional<ClaimAnswerMessage> claimAnswerFromCbor(const QCborMap &body)
 {
-    const auto kind = kindOnWire(body.value(KindMember).toInteger());
+    const auto kind = kindFromWire(body.value(KindMember).toInteger());
     const qint64 shard = body.value(ShardMember).toInteger(-1);
     const qint64 window = body.value(WindowMember).toInteger(-1);
     const bool wellFormed =
-        kind && body.value(AttemptMember).isString() && window >= 0 && window <= LongestWindowMs;
+        kind && body.value(AttemptMember).isString() && window >= 0 && window <= MaxBatchWindowMs;
     if (!wellFormed)
         return std::nullopt;
     ClaimAnswerMessage message{AttemptId(body.value(AttemptMember).toString()),
--- a/src/claims/ClaimMessages.h
+++ b/src/claims/ClaimMessages.h
@@ -1,4 +1,3 @@
-// Defines the messages by which a daemon lets another write its claim.
 #pragma once
 
 #include "base/Units.h"
@@ -10,25 +9,29 @@
 
 namespace cranberry {
 
+/// Forwards a claim to the coordinator of its shard.
 struct ClaimRequestMessage {
     Claim claim;
 };
 
+/// The coordinator's answer to a ClaimRequestMessage.
 struct ClaimAnswerMessage {
     AttemptId attempt;
     ClaimOutcome outcome;
     int shard = 0;
-    /// How long the gatherer holds claims of the shard at present.
+    /// The coordinator's present batch window for the shard.
     Milliseconds window{0};
 };
 
 /// Thread-safe.
 QCborMap claimRequestToCbor(const ClaimRequestMessage &message);
+
 /// Empty if @p body is not well formed. Thread-safe.
 std::optional<ClaimRequestMessage> claimRequestFromCbor(const QCborMap &body);
 
 /// Thread-safe.
 QCborMap claimAnswerToCbor(const ClaimAnswerMessage &message);
+
 /// Empty if @p body is not well formed. Thread-safe.
 std::optional<ClaimAnswerMessage> claimAnswerFromCbor(const QCborMap &body);
 
--- a/src/claims/ClaimOperation.h
+++ b/src/claims/ClaimOperation.h
@@ -1,17 +1,17 @@
-// Defines ClaimOperation, one thing to do in a shard, and what becomes of it.
 #pragma once
 
 #include "claims/Claim.h"
 
 namespace cranberry {
 
+/// One change of a shard.
 struct ClaimOperation {
     enum class Kind {
         Claim,
-        /// Takes the claim of this attempt back, if it stands in the open segment.
+        /// Removes the claim of this attempt if it is in the open segment.
         Release,
-        /// As Release, and moves the head on, so that a write of the claim that may still be on
-        /// its way expects an old revision and can no longer take effect.
+        /// Like Release, but always writes the head. A write of the claim that is still in flight
+        /// then expects an old revision and can no longer take effect.
         Void,
     };
 
@@ -19,21 +19,23 @@
     Claim claim;
 };
 
+/// The result of a ClaimOperation.
 struct ClaimOutcome {
     enum class Kind {
-        /// The claim stands, or the release is done.
+        /// The claim is stored, or the release is complete.
         Done,
         /// Another attempt holds the key.
         Held,
-        /// The service did not take it, or it could not be settled whether it did.
+        /// The store did not accept the operation, or its outcome could not be determined.
         Unavailable,
     };
 
     Kind kind = Kind::Unavailable;
-    /// If Held: the claim that stands.
+    /// If Held: the stored claim.
     Claim holder;
-    /// If Unavailable: a write of the claim was not answered, so it may stand or come to.
-    bool mayStand = false;
+    /// If Unavailable: a write of the claim was not answered, so the claim may be stored now or
+    /// later.
+    bool mayBeStored = false;
 };
 
 } // namespace cranberry
--- a/src/claims/ClaimSegment.cpp
+++ b/src/claims/ClaimSegment.cpp
@@ -44,9 +44,9 @@
 {
     ClaimSegment next;
     next.sequence = head.sequence + 1;
-    const qint64 forgottenBefore = nowMs - Milliseconds(retention + ClaimClockSkew).count();
+    const qint64 expiredBefore = nowMs - Milliseconds(retention + MaxClaimClockSkew).count();
     for (const SealedSegment &sealed : head.sealed) {
-        if (sealed.sealedAtMs >= forgottenBefore)
+        if (sealed.sealedAtMs >= expiredBefore)
             next.sealed.append(sealed);
     }
     next.sealed.append({head.sequence, headRevision, nowMs});
--- a/src/claims/ClaimSegmentCodec.cpp
+++ b/src/claims/ClaimSegmentCodec.cpp
@@ -15,7 +15,7 @@
     SealedMember = 3,
 };
 
-constexpr int SealedFields = 3;
+constexpr int SealedFieldCount = 3;
 
 QCborArray encodeSealed(const SealedSegment &sealed)
 {
@@ -24,7 +24,7 @@
 
 std::optional<SealedSegment> decodeSealed(const QCborArray &fields)
 {
-    const bool wellFormed = fields.size() == SealedFields && fields[0].isInteger()
+    const bool wellFormed = fields.size() == SealedFieldCount && fields[0].isInteger()
         && fields[1].isInteger() && fields[2].isInteger();
     if (!wellFormed)
         return std::nullopt;
--- a/src/claims/ClaimShard.cpp
+++ b/src/claims/ClaimShard.cpp
@@ -7,77 +7,78 @@
 
 namespace cranberry {
 
-ClaimShard::ClaimShard(int shard, const Surroundings &surroundings)
+ClaimShard::ClaimShard(int shard, const Dependencies &dependencies)
     : m_shard(shard)
-    , m_platform(surroundings.platform)
-    , m_timers(surroundings.timers)
-    , m_clock(surroundings.clock)
-    , m_settings(surroundings.settings)
+    , m_platform(dependencies.platform)
+    , m_timers(dependencies.timers)
+    , m_clock(dependencies.clock)
+    , m_settings(dependencies.settings)
 {
 }
 
 ClaimShard::~ClaimShard() = default;
 
-void ClaimShard::submit(const ClaimOperation &operation, bool mayGather, Callback callback)
+void ClaimShard::submit(const ClaimOperation &operation, bool mayBatch, Callback callback)
 {
-    m_waiting.push_back(
-        {operation, std::move(callback), m_timers.now() + m_settings.settleLimit, false});
-    m_rate = afterArrival(m_rate, m_timers.now());
-    if (m_inRound)
+    m_queue.push_back(
+        {operation, std::move(callback), m_timers.now() + m_settings.settleTimeout, false});
+    m_arrivalRate = recordArrival(m_arrivalRate, m_timers.now());
+    if (m_isRoundActive)
         return;
-    if (!mayGather || window().count() == 0) {
+    if (!mayBatch || window().count() == 0) {
         startRound();
         return;
     }
-    if (!m_windowEnd)
-        m_windowEnd = m_timers.after(window(), [this] { startRound(); });
+    if (!m_windowTimer)
+        m_windowTimer = m_timers.after(window(), [this] { startRound(); });
 }
 
 Milliseconds ClaimShard::window() const
 {
-    return gatherWindow(m_rate, m_timers.now(), m_settings.longestWindow);
+    return batchWindow(m_arrivalRate, m_timers.now(), m_settings.maxBatchWindow);
 }
 
 void ClaimShard::startRound()
 {
-    m_windowEnd.reset();
-    if (m_inRound || m_waiting.empty())
+    m_windowTimer.reset();
+    if (m_isRoundActive || m_queue.empty())
         return;
-    m_inRound = true;
+    m_isRoundActive = true;
     m_headIsFresh = false;
-    const auto taken = std::min(m_waiting.size(), size_t(m_settings.fullSegment));
-    const auto end = m_waiting.begin() + qsizetype(taken);
-    m_round.assign(std::make_move_iterator(m_waiting.begin()), std::make_move_iterator(end));
-    m_waiting.erase(m_waiting.begin(), end);
-    step();
+    const auto count = std::min(m_queue.size(), size_t(m_settings.maxSegmentClaims));
+    const auto end = m_queue.begin() + qsizetype(count);
+    m_roundOperations.assign(std::make_move_iterator(m_queue.begin()),
+                             std::make_move_iterator(end));
+    m_queue.erase(m_queue.begin(), end);
+    advanceRound();
 }
 
-void ClaimShard::step()
+void ClaimShard::advanceRound()
 {
-    dropOverdue();
-    if (m_round.empty())
+    failOverdueOperations();
+    if (m_roundOperations.empty())
         endRound();
     else if (!m_headIsKnown)
         readHead();
-    else if (const auto missing = m_sealed.missing(m_head.sealed); !missing.isEmpty())
+    else if (const auto missing = m_sealedClaims.findMissing(m_head.sealed); !missing.isEmpty())
         readSealed(missing);
     else
         decide();
 }
 
-void ClaimShard::stepLater()
+void ClaimShard::scheduleRetry()
 {
-    m_pause = m_timers.after(m_settings.settlePause, [this] { step(); });
+    m_retryTimer = m_timers.after(m_settings.settleRetryInterval, [this] { advanceRound(); });
 }
 
 void ClaimShard::readHead()
 {
     ++m_counts.reads;
     m_platform.read(claimHeadKey(m_shard),
-                    m_life.wrap([this](const Result<KeyValue> &head) { headRead(head); }));
+                    m_life.wrap([this](const Result<KeyValue> &head) { onHeadRead(head); }));
 }
 
-void ClaimShard::headRead(const Result<KeyValue> &head)
+void ClaimShard::onHeadRead(const Result<KeyValue> &head)
 {
     if (!head) {
         failRound();
@@ -93,44 +94,44 @@
     m_headRevision = head.value().revision;
     m_headIsKnown = true;
     m_headIsFresh = true;
-    step();
+    advanceRound();
 }
 
 void ClaimShard::readSealed(const QList<SealedSegment> &missing)
 {
-    m_sealedReads = int(missing.size());
-    m_sealedReadFailed = false;
+    m_pendingSealedReads = int(missing.size());
+    m_hasSealedReadFailed = false;
     for (const SealedSegment &sealed : missing) {
         ++m_counts.reads;
         m_platform.read(sealedSegmentKey(m_shard, sealed),
                         m_life.wrap([this, sealed](const Result<KeyValue> &value) {
-                            sealedRead(sealed, value);
+                            onSealedRead(sealed, value);
                         }));
     }
 }
 
-void ClaimShard::sealedRead(const SealedSegment &sealed, const Result<KeyValue> &value)
+void ClaimShard::onSealedRead(const SealedSegment &sealed, const Result<KeyValue> &value)
 {
     const auto segment = value ? decodeSegment(value.value().value) : std::nullopt;
     if (segment)
-        m_sealed.insert(sealed, value.value().revision, *segment);
+        m_sealedClaims.insert(sealed, value.value().revision, *segment);
     else
-        m_sealedReadFailed = true;
-    if (--m_sealedReads > 0)
+        m_hasSealedReadFailed = true;
+    if (--m_pendingSealedReads > 0)
         return;
-    if (m_sealedReadFailed)
-        failRound(); // it may be that the head is old and names what was trimmed since
+    if (m_hasSealedReadFailed)
+        failRound(); // an outdated head may reference a segment that has been removed since
     else
-        step();
+        advanceRound();
 }
 
-// Nothing may be decided without the head and every sealed segment: a claim that stands there
-// unseen would let its request be sent a second time. While the service is down a refusal at
-// once is better than a wait, even for a claim that may stand.
+// A round needs the head and every sealed segment: with an unread claim in one of them, its
+// request could be sent a second time. While the store is down, operations fail at once instead
+// of waiting, even those whose claim may be stored.
 void ClaimShard::failRound()
 {
     m_headIsKnown = false;
-    for (const Entry &entry : std::exchange(m_round, {}))
+    for (const PendingOperation &entry : std::exchange(m_roundOperations, {}))
         finish(entry, ClaimOutcome::Kind::Unavailable);
     endRound();
 }
@@ -138,44 +139,44 @@
 void ClaimShard::decide()
 {
     QList<ClaimOperation> operations;
-    for (const Entry &entry : m_round)
+    for (const PendingOperation &entry : m_roundOperations)
         operations.append(entry.operation);
     const SegmentUpdate update =
-        decideOperations(m_head, m_headRevision, m_sealed, operations, m_clock(),
-                         m_settings.fullSegment, m_settings.retention);
-    // A known head may be old: who holds a key, or what was released, is said of a fresh one.
-    const bool settlesAny =
-        std::any_of(update.steps.begin(), update.steps.end(), [](OperationStep operationStep) {
-            return operationStep == OperationStep::Held || operationStep == OperationStep::Done;
+        decideOperations(m_head, m_headRevision, m_sealedClaims, operations, m_clock(),
+                         m_settings.maxSegmentClaims, m_settings.retention);
+    // A cached head may be outdated, so the outcomes Held and Done need a head read in this round.
+    const bool settlesAnyOperation = std::any_of(
+        update.decisions.begin(), update.decisions.end(), [](OperationDecision decision) {
+            return decision == OperationDecision::Held || decision == OperationDecision::Done;
         });
-    if (settlesAny && !m_headIsFresh) {
+    if (settlesAnyOperation && !m_headIsFresh) {
         readHead();
         return;
     }
-    settle(update);
-    if (m_round.empty())
+    finishSettled(update);
+    if (m_roundOperations.empty())
         endRound();
-    else if (update.seals)
+    else if (update.requiresSeal)
         writeSeal(update);
     else
         writeHead(update);
 }
 
-void ClaimShard::settle(const SegmentUpdate &update)
+void ClaimShard::finishSettled(const SegmentUpdate &update)
 {
-    std::vector<Entry> left;
-    std::vector<Entry> round = std::move(m_round);
-    m_round.clear();
+    std::vector<PendingOperation> remaining;
+    std::vector<PendingOperation> round = std::move(m_roundOperations);
+    m_roundOperations.clear();
     for (size_t i = 0; i < round.size(); ++i) {
-        const OperationStep operationStep = update.steps[qsizetype(i)];
-        if (operationStep == OperationStep::Done)
+        const OperationDecision decision = update.decisions[qsizetype(i)];
+        if (decision == OperationDecision::Done)
             finish(round[i], ClaimOutcome::Kind::Done);
-        else if (operationStep == OperationStep::Held)
+        else if (decision == OperationDecision::Held)
             finish(round[i], ClaimOutcome::Kind::Held, update.holders[qsizetype(i)]);
         else
-            left.push_back(std::move(round[i]));
+            remaining.push_back(std::move(round[i]));
     }
-    m_round = std::move(left);
+    m_roundOperations = std::move(remaining);
 }
 
 void ClaimShard::writeSeal(const SegmentUpdate &update)
@@ -186,22 +187,22 @@
     m_platform.compareAndSwap(
         sealedSegmentKey(m_shard, update.next.sealed.last()), Revision(0), encodeSegment(content),
         std::nullopt,
-        m_life.wrap([this, update](const SwapResult &result) { sealWritten(update, result); }));
+        m_life.wrap([this, update](const SwapResult &result) { onSealWritten(update, result); }));
 }
 
-// The head goes on only once the sealed segment certainly stands. What stands under its name
-// already is the same: the name holds the revision whose claims it has.
-void ClaimShard::sealWritten(const SegmentUpdate &update, const SwapResult &result)
+// The head is replaced only after the sealed segment is known to be stored. A conflict means that
+// the same content is stored already, since the key contains the revision of the sealed head.
+void ClaimShard::onSealWritten(const SegmentUpdate &update, const SwapResult &result)
 {
-    const bool stands =
+    const bool isStored =
         result.outcome == SwapOutcome::Swapped || result.outcome == SwapOutcome::Conflict;
-    if (stands) {
-        m_sealRevision = result.revision;
+    if (isStored) {
+        m_sealedRevision = result.revision;
         writeHead(update);
     } else if (result.outcome == SwapOutcome::NotDone) {
         failRound();
     } else {
-        stepLater();
+        scheduleRetry();
     }
 }
 
@@ -210,10 +211,10 @@
     ++m_counts.writes;
     m_platform.compareAndSwap(
         claimHeadKey(m_shard), m_headRevision, encodeSegment(update.next), std::nullopt,
-        m_life.wrap([this, update](const SwapResult &result) { headWritten(update, result); }));
+        m_life.wrap([this, update](const SwapResult &result) { onHeadWritten(update, result); }));
 }
 
-void ClaimShard::headWritten(const SegmentUpdate &update, const SwapResult &result)
+void ClaimShard::onHeadWritten(const SegmentUpdate &update, const SwapResult &result)
 {
     if (result.outcome == SwapOutcome::NotDone) {
         failRound();
@@ -221,71 +222,74 @@
     }
     if (result.outcome == SwapOutcome::Conflict) {
         m_headIsKnown = false;
-        step();
+        advanceRound();
         return;
     }
-    // Failure: the write took effect and its answer was lost, or it is still on its way. It
-    // shows as Unknown. Neither "won" nor "not claimed" may be said before a read tells.
+    // The write took effect and its answer was lost, or it is still in flight. The outcome may only
+    // be reported after another read has determined it.
     if (result.outcome == SwapOutcome::Unknown) {
-        for (Entry &entry : m_round)
-            entry.mayStand = true;
+        for (PendingOperation &entry : m_roundOperations)
+            entry.mayBeStored = true;
         m_headIsKnown = false;
-        stepLater();
+        scheduleRetry();
         return;
     }
-    if (update.seals)
-        m_sealed.insert(update.next.sealed.last(), m_sealRevision, m_head);
+    if (update.requiresSeal)
+        m_sealedClaims.insert(update.next.sealed.last(), m_sealedRevision, m_head);
     m_head = update.next;
     m_headRevision = result.revision;
-    forgetSegments(update.seals);
-    SegmentUpdate done = update;
-    done.steps.removeIf(
-        [](OperationStep s) { return s == OperationStep::Done || s == OperationStep::Held; });
-    std::replace(done.steps.begin(), done.steps.end(), OperationStep::Write, OperationStep::Done);
-    settle(done);
-    step();
+    dropExpiredSegments(update.requiresSeal);
+    SegmentUpdate settled = update;
+    settled.decisions.removeIf([](OperationDecision decision) {
+        return decision == OperationDecision::Done || decision == OperationDecision::Held;
+    });
+    std::replace(settled.decisions.begin(), settled.decisions.end(), OperationDecision::Write,
+                 OperationDecision::Done);
+    finishSettled(settled);
+    advanceRound();
 }
 
-// Whoever sealed removes what its head no longer names from the service too.
-void ClaimShard::forgetSegments(bool remove)
+// The daemon that sealed a segment also removes from the store the segments that its new head no
+// longer references.
+void ClaimShard::dropExpiredSegments(bool removeFromStore)
 {
-    for (const auto &[place, revision] : m_sealed.keepOnly(m_head.sealed)) {
-        if (!remove)
+    for (const auto &[reference, revision] : m_sealedClaims.retainOnly(m_head.sealed)) {
+        if (!removeFromStore)
             continue;
         ++m_counts.writes;
-        m_platform.remove(sealedSegmentKey(m_shard, place), revision, [](SwapResult) {});
+        m_platform.remove(sealedSegmentKey(m_shard, reference), revision, [](SwapResult) {});
     }
 }
 
-void ClaimShard::dropOverdue()
+void ClaimShard::failOverdueOperations()
 {
     const MonotonicTime now = m_timers.now();
-    std::vector<Entry> left;
-    for (Entry &entry : std::exchange(m_round, {})) {
+    std::vector<PendingOperation> remaining;
+    for (PendingOperation &entry : std::exchange(m_roundOperations, {})) {
         if (entry.deadline <= now)
             finish(entry, ClaimOutcome::Kind::Unavailable);
         else
-            left.push_back(std::move(entry));
+            remaining.push_back(std::move(entry));
     }
-    m_round = std::move(left);
+    m_roundOperations = std::move(remaining);
 }
 
 void ClaimShard::endRound()
 {
-    m_inRound = false;
-    if (m_waiting.empty())
+    m_isRoundActive = false;
+    if (m_queue.empty())
         return;
-    m_windowEnd = m_timers.after(window(), [this] { startRound(); });
+    m_windowTimer = m_timers.after(window(), [this] { startRound(); });
 }
 
-void ClaimShard::finish(const Entry &entry, ClaimOutcome::Kind kind, const Claim &holder)
+void ClaimShard::finish(const PendingOperation &entry, ClaimOutcome::Kind kind, const Claim &holder)
 {
     if (entry.operation.kind == ClaimOperation::Kind::Claim) {
         m_counts.won += kind == ClaimOutcome::Kind::Done;
         m_counts.held += kind == ClaimOutcome::Kind::Held;
         m_counts.unavailable += kind == ClaimOutcome::Kind::Unavailable;
     }
-    entry.callback({kind, holder, entry.mayStand});
+    entry.callback({kind, holder, entry.mayBeStored});
 }
 
 } // namespace cranberry
--- a/src/claims/ClaimShard.h
+++ b/src/claims/ClaimShard.h
@@ -1,4 +1,3 @@
-// Defines ClaimShard, which brings operations on one shard into the platform's service.
 #pragma once
 
 #include "claims/ClaimCounts.h"
@@ -18,66 +17,68 @@
 class TimerService;
 class TimerSubscription;
 
-/// Writes operations in rounds, one at a time: read the head unless it is known, decide, seal
-/// if need be, compare-and-swap the head.
-/// A write whose answer was lost is settled by reading again, in the head and in segments
-/// sealed since: the claim's attempt either stands there, or the head has another revision
-/// and the write can no longer take effect, or the same write is tried again.
+/// Applies operations to one shard in the platform's store.
+/// Processes operations in rounds, one round at a time: read the head unless it is cached, decide,
+/// seal the segment if it is full, and compare-and-swap the head.
+/// The outcome of a write without an answer is determined by reading the head and the segments
+/// sealed since. The claim's attempt is stored there, or the head has another revision and the
+/// write can no longer take effect, or the same write is tried again.
 /// Thread safety: only from the thread of the event loop.
 class ClaimShard
 {
 public:
     using Callback = std::function<void(const ClaimOutcome &outcome)>;
 
-    /// All of it outlives the shard.
-    struct Surroundings {
+    /// All of these outlive the shard.
+    struct Dependencies {
         KeyValueStore &platform;
         TimerService &timers;
         const std::function<qint64()> &clock;
         const ClaimSettings &settings;
     };
 
-    ClaimShard(int shard, const Surroundings &surroundings);
+    ClaimShard(int shard, const Dependencies &dependencies);
     ~ClaimShard();
     ClaimShard(const ClaimShard &) = delete;
     ClaimShard &operator=(const ClaimShard &) = delete;
 
-    /// Does @p operation and calls back once, later or at once. @p mayGather: it may wait for
-    /// others to be written with it.
-    void submit(const ClaimOperation &operation, bool mayGather, Callback callback);
+    /// Performs @p operation and calls @p callback once, possibly before returning. If @p mayBatch,
+    /// the operation may wait for others to share its write.
+    void submit(const ClaimOperation &operation, bool mayBatch, Callback callback);
 
-    /// How long an operation that may gather is held for others at present.
+    /// How long an operation that may be batched waits for others at present.
     Milliseconds window() const;
 
     const ClaimCounts &counts() const { return m_counts; }
 
 private:
-    struct Entry {
+    struct PendingOperation {
         ClaimOperation operation;
         Callback callback;
         MonotonicTime deadline;
-        /// A write with this operation was not answered.
-        bool mayStand = false;
+        /// A write of this operation was not answered.
+        bool mayBeStored = false;
     };
 
     void startRound();
-    void step();
-    void stepLater();
+    void advanceRound();
+    void scheduleRetry();
     void readHead();
-    void headRead(const Result<KeyValue> &head);
+    void onHeadRead(const Result<KeyValue> &head);
     void readSealed(const QList<SealedSegment> &missing);
-    void sealedRead(const SealedSegment &sealed, const Result<KeyValue> &value);
+    void onSealedRead(const SealedSegment &sealed, const Result<KeyValue> &value);
     void decide();
-    void settle(const SegmentUpdate &update);
+    void finishSettled(const SegmentUpdate &update);
     void writeSeal(const SegmentUpdate &update);
-    void sealWritten(const SegmentUpdate &update, const SwapResult &result);
-    void forgetSegments(bool remove);
+    void onSealWritten(const SegmentUpdate &update, const SwapResult &result);
+    void dropExpiredSegments(bool removeFromStore);
     void writeHead(const SegmentUpdate &update);
-    void headWritten(const SegmentUpdate &update, const SwapResult &result);
-    void dropOverdue();
+    void onHeadWritten(const SegmentUpdate &update, const SwapResult &result);
+    void failOverdueOperations();
     void failRound();
     void endRound();
-    void finish(const Entry &entry, ClaimOutcome::Kind kind, const Claim &holder = Claim());
+    void finish(const PendingOperation &entry, ClaimOutcome::Kind kind,
+                const Claim &holder = Claim());
 
     const int m_shard;
     KeyValueStore &m_platform;
@@ -85,22 +86,22 @@
     const std::function<qint64()> &m_clock;
     const ClaimSettings &m_settings;
 
-    std::vector<Entry> m_waiting;
-    std::vector<Entry> m_round;
-    bool m_inRound = false;
-    /// The head was read in this round.
+    std::vector<PendingOperation> m_queue;
+    std::vector<PendingOperation> m_roundOperations;
+    bool m_isRoundActive = false;
+    /// True if the head was read in this round.
     bool m_headIsFresh = false;
     bool m_headIsKnown = false;
     ClaimSegment m_head;
     Revision m_headRevision;
-    SealedClaims m_sealed;
-    /// Revision of the sealed segment that the write under way names.
-    Revision m_sealRevision;
-    int m_sealedReads = 0;
-    bool m_sealedReadFailed = false;
-    ArrivalRate m_rate;
-    std::unique_ptr<TimerSubscription> m_windowEnd;
-    std::unique_ptr<TimerSubscription> m_pause;
+    SealedClaims m_sealedClaims;
+    /// Revision of the sealed segment that the head being written references.
+    Revision m_sealedRevision;
+    int m_pendingSealedReads = 0;
+    bool m_hasSealedReadFailed = false;
+    ArrivalRate m_arrivalRate;
+    std::unique_ptr<TimerSubscription> m_windowTimer;
+    std::unique_ptr<TimerSubscription> m_retryTimer;
     ClaimCounts m_counts;
     internal::LifeGuard m_life;
 };
--- a/src/claims/ClaimStore.cpp
+++ b/src/claims/ClaimStore.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-Error notClaimed()
+Error claimUnavailableError()
 {
     Error error;
     error.kind = ErrorKind::PlatformUnavailable;
@@ -32,24 +32,24 @@
 
 } // namespace
 
-ClaimStore::ClaimStore(const Surroundings &surroundings, const ClaimSettings &settings)
-    : ClaimStore(surroundings, settings, [] { return QDateTime::currentMSecsSinceEpoch(); })
+ClaimStore::ClaimStore(const Dependencies &dependencies, const ClaimSettings &settings)
+    : ClaimStore(dependencies, settings, [] { return QDateTime::currentMSecsSinceEpoch(); })
 {
 }
 
-ClaimStore::ClaimStore(const Surroundings &surroundings, const ClaimSettings &settings,
+ClaimStore::ClaimStore(const Dependencies &dependencies, const ClaimSettings &settings,
                        WallClock clock)
-    : m_self(surroundings.members.self())
+    : m_self(dependencies.members.self())
     , m_settings(settings)
-    , m_timers(surroundings.timers)
+    , m_timers(dependencies.timers)
     , m_clock(std::move(clock))
 {
     for (int shard = 0; shard < ClaimShardCount; ++shard) {
         m_shards.push_back(std::make_unique<ClaimShard>(
-            shard, ClaimShard::Surroundings{surroundings.platform, m_timers, m_clock, m_settings}));
+            shard, ClaimShard::Dependencies{dependencies.platform, m_timers, m_clock, m_settings}));
     }
-    m_gathering = std::make_unique<ClaimGathering>(
-        surroundings.peers, m_timers, surroundings.members, m_settings,
+    m_forwarder = std::make_unique<ClaimForwarder>(
+        dependencies.peers, m_timers, dependencies.members, m_settings,
         [this](const QByteArray &claimKey) -> ClaimShard & { return shardOf(claimKey); });
 }
 
@@ -64,13 +64,13 @@
                        const AttemptId &attempt, Callback callback)
 {
     const Claim claim{claimKey, fingerprint, attempt, m_self, m_clock()};
-    m_gathering->claim(claim, [this, claim, callback = std::move(callback)](const auto &outcome) {
-        claimDecided(claim, outcome, callback);
+    m_forwarder->claim(claim, [this, claim, callback = std::move(callback)](const auto &outcome) {
+        onClaimDecided(claim, outcome, callback);
     });
 }
 
-void ClaimStore::claimDecided(const Claim &claim, const ClaimOutcome &outcome,
-                              const Callback &callback)
+void ClaimStore::onClaimDecided(const Claim &claim, const ClaimOutcome &outcome,
+                                const Callback &callback)
 {
     switch (outcome.kind) {
     case ClaimOutcome::Kind::Done:
@@ -84,10 +84,10 @@
                                outcome.holder.fingerprint});
         return;
     case ClaimOutcome::Kind::Unavailable:
-        // Its attempt is never sent, so a claim that may stand is taken back when that can be.
+        // The attempt is never sent, so a claim that may be stored is released when possible.
         logEvent(LogLevel::Warning, EventId::ClaimUnsettled, {attemptField(claim.attempt)});
-        callback(notClaimed());
-        if (outcome.mayStand)
+        callback(claimUnavailableError());
+        if (outcome.mayBeStored)
             release({ClaimOperation::Kind::Void, claim}, 0);
         return;
     }
@@ -98,32 +98,34 @@
     release({ClaimOperation::Kind::Release, {claimKey, {}, attempt, m_self, 0}}, 0);
 }
 
-void ClaimStore::release(const ClaimOperation &operation, int tries)
+void ClaimStore::release(const ClaimOperation &operation, int failureCount)
 {
     const AttemptId attempt = operation.claim.attempt;
     shardOf(operation.claim.key)
-        .submit(operation, true, [this, operation, attempt, tries](const ClaimOutcome &outcome) {
-            if (outcome.kind == ClaimOutcome::Kind::Done) {
-                m_releases.erase(attempt);
-                logEvent(LogLevel::Info, EventId::ClaimReleased, {attemptField(attempt)});
-            } else {
-                releaseLater(operation, tries + 1);
-            }
-        });
+        .submit(operation, true,
+                [this, operation, attempt, failureCount](const ClaimOutcome &outcome) {
+                    if (outcome.kind == ClaimOutcome::Kind::Done) {
+                        m_releases.erase(attempt);
+                        logEvent(LogLevel::Info, EventId::ClaimReleased, {attemptField(attempt)});
+                    } else {
+                        scheduleReleaseRetry(operation, failureCount + 1);
+                    }
+                });
 }
 
-// The pause doubles, so that an outage does not end under the weight of what waited for it.
-void ClaimStore::releaseLater(const ClaimOperation &operation, int tries)
+// Exponential backoff, so that waiting releases do not overload the store after an outage.
+void ClaimStore::scheduleReleaseRetry(const ClaimOperation &operation, int failureCount)
 {
-    constexpr int MostDoublings = 5;
+    constexpr int MaxBackoffDoublings = 5;
     const AttemptId attempt = operation.claim.attempt;
-    if (tries >= m_settings.releaseTries) {
+    if (failureCount >= m_settings.maxReleaseAttempts) {
         m_releases.erase(attempt);
         return;
     }
-    const Milliseconds pause = m_settings.releasePause * (1 << std::min(tries, MostDoublings));
-    m_releases[attempt] =
-        m_timers.after(pause, [this, operation, tries] { release(operation, tries); });
+    const Milliseconds backoff =
+        m_settings.releaseRetryBackoff * (1 << std::min(failureCount, MaxBackoffDoublings));
+    m_releases[attempt] = m_timers.after(
+        backoff, [this, operation, failureCount] { release(operation, failureCount); });
 }
 
 ClaimCounts ClaimStore::counts() const
--- a/src/claims/ClaimStore.h
+++ b/src/claims/ClaimStore.h
@@ -1,4 +1,3 @@
-// Defines ClaimStore, which keeps the claims of at-most-once requests in the platform's service.
 #pragma once
 
 #include "claims/ClaimCounts.h"
@@ -12,7 +11,7 @@
 
 namespace cranberry {
 
-class ClaimGathering;
+class ClaimForwarder;
 class ClaimShard;
 class KeyValueStore;
 class MemberView;
@@ -23,22 +22,24 @@
 struct ClaimOperation;
 struct ClaimOutcome;
 
-/// Claims are spread over shards by their key. The one commit point of a shard is the
-/// compare-and-swap of its head in the platform's service; neither membership nor any clock
-/// decides who wins.
+/// Keeps the claims of at-most-once requests in the platform's store.
+/// Claims are distributed over shards by key. The only commit point of a shard is the
+/// compare-and-swap of its head in the platform's store; neither membership nor clocks decide
+/// which claim wins.
 ///
 /// An error from claim() has kind PlatformUnavailable and Ran::No: the request did not run.
-/// The claim may stand nevertheless, if its write was not answered and could not be settled;
-/// its attempt id must never be sent then. It is released later if the service comes back.
+/// The claim may be stored nevertheless, if its write was not answered and its outcome could not
+/// be determined; its attempt id must never be sent then. The claim is released later if the
+/// store becomes available again.
 /// Thread safety: only from the thread of the event loop.
 class ClaimStore final : public ClaimGate
 {
 public:
-    /// Milliseconds since 1970; it decides only what is old enough to be forgotten.
+    /// Milliseconds since 1970; used only to decide which claims are old enough to be removed.
     using WallClock = std::function<qint64()>;
 
-    /// What the store works with; all of it outlives the store.
-    struct Surroundings {
+    /// All of these outlive the claim store.
+    struct Dependencies {
         KeyValueStore &platform;
         TimerService &timers;
         const MemberView &members;
@@ -46,24 +47,24 @@
     };
 
     /// Subscribes to ClaimRequest and ClaimAnswer.
-    ClaimStore(const Surroundings &surroundings, const ClaimSettings &settings);
-    ClaimStore(const Surroundings &surroundings, const ClaimSettings &settings, WallClock clock);
+    ClaimStore(const Dependencies &dependencies, const ClaimSettings &settings);
+    ClaimStore(const Dependencies &dependencies, const ClaimSettings &settings, WallClock clock);
     ~ClaimStore() override;
 
-    /// Preconditions: @p claimKey is a SHA-256, @p attempt was never claimed before.
+    /// Preconditions: @p claimKey is a SHA-256 digest, @p attempt was never claimed before.
     void claim(const QByteArray &claimKey, const QByteArray &fingerprint, const AttemptId &attempt,
                Callback callback) override;
 
-    /// Once the claim's segment is sealed it cannot be given back: the key stays taken.
+    /// Has no effect once the claim's segment is sealed: the key remains claimed.
     void release(const QByteArray &claimKey, const AttemptId &attempt) override;
 
-    /// Calls on the platform's service and claims so far.
+    /// Calls on the platform's store and claims since the start.
     ClaimCounts counts() const;
 
 private:
-    void claimDecided(const Claim &claim, const ClaimOutcome &outcome, const Callback &callback);
-    void release(const ClaimOperation &operation, int tries);
-    void releaseLater(const ClaimOperation &operation, int tries);
+    void onClaimDecided(const Claim &claim, const ClaimOutcome &outcome, const Callback &callback);
+    void release(const ClaimOperation &operation, int failureCount);
+    void scheduleReleaseRetry(const ClaimOperation &operation, int failureCount);
     ClaimShard &shardOf(const QByteArray &claimKey);
 
     const VmId m_self;
@@ -71,8 +72,8 @@
     TimerService &m_timers;
     WallClock m_clock;
     std::vector<std::unique_ptr<ClaimShard>> m_shards;
-    std::unique_ptr<ClaimGathering> m_gathering;
-    /// Releases to be tried again, by attempt.
+    std::unique_ptr<ClaimForwarder> m_forwarder;
+    /// Timers of releases to be retried, by attempt.
     std::map<AttemptId, std::unique_ptr<TimerSubscription>> m_releases;
 };
 
--- a/src/claims/GatherWindow.cpp
+++ b/src/claims/GatherWindow.cpp
@@ -7,32 +7,32 @@
 
 namespace {
 
-constexpr double DecaySeconds = 5;
-/// Of one shard; with 64 of them 128 writes a second, of the several hundred that the
-/// platform's service takes for everything.
-constexpr double WritesPerSecond = 2;
+constexpr double RateDecaySeconds = 5;
+/// Share of one shard. 64 shards make 128 writes per second, of the several hundred per second
+/// that the platform's store accepts in total.
+constexpr double MaxWritesPerSecond = 2;
 
-double decayed(const ArrivalRate &rate, MonotonicTime now)
+double decayedRate(const ArrivalRate &rate, MonotonicTime now)
 {
     const double seconds = std::chrono::duration<double>(now - rate.last).count();
-    return rate.perSecond * std::exp(-seconds / DecaySeconds);
+    return rate.perSecond * std::exp(-seconds / RateDecaySeconds);
 }
 
 } // namespace
 
-ArrivalRate afterArrival(const ArrivalRate &rate, MonotonicTime now)
+ArrivalRate recordArrival(const ArrivalRate &rate, MonotonicTime now)
 {
-    return {decayed(rate, now) + 1 / DecaySeconds, now};
+    return {decayedRate(rate, now) + 1 / RateDecaySeconds, now};
 }
 
-Milliseconds gatherWindow(const ArrivalRate &rate, MonotonicTime now, Milliseconds longest)
+Milliseconds batchWindow(const ArrivalRate &rate, MonotonicTime now, Milliseconds maxWindow)
 {
-    const double perSecond = decayed(rate, now);
-    if (perSecond <= WritesPerSecond)
+    const double perSecond = decayedRate(rate, now);
+    if (perSecond <= MaxWritesPerSecond)
         return Milliseconds(0);
-    // Between two writes pass the window and, on average, the wait for the first claim in it.
-    const std::chrono::duration<double> window(1 / WritesPerSecond - 1 / perSecond);
-    return std::min(longest, std::chrono::duration_cast<Milliseconds>(window));
+    // The interval between two writes is the window plus the average wait for its first claim.
+    const std::chrono::duration<double> window(1 / MaxWritesPerSecond - 1 / perSecond);
+    return std::min(maxWindow, std::chrono::duration_cast<Milliseconds>(window));
 }
 
 } // namespace cranberry
--- a/src/claims/SealedClaims.cpp
+++ b/src/claims/SealedClaims.cpp
@@ -5,34 +5,35 @@
 void SealedClaims::insert(const SealedSegment &sealed, Revision revision,
                           const ClaimSegment &segment)
 {
-    Segment known{sealed, revision, {}};
+    Segment entry{sealed, revision, {}};
     for (const Claim &claim : segment.claims)
-        known.claims.insert(claim.key, claim);
-    m_segments.insert(sealed.headRevision.value(), known);
+        entry.claims.insert(claim.key, claim);
+    m_segments.insert(sealed.headRevision.value(), entry);
 }
 
-QList<SealedSegment> SealedClaims::missing(const QList<SealedSegment> &named) const
+QList<SealedSegment> SealedClaims::findMissing(const QList<SealedSegment> &references) const
 {
     QList<SealedSegment> result;
-    for (const SealedSegment &sealed : named) {
+    for (const SealedSegment &sealed : references) {
         if (!m_segments.contains(sealed.headRevision.value()))
             result.append(sealed);
     }
     return result;
 }
 
-QList<QPair<SealedSegment, Revision>> SealedClaims::keepOnly(const QList<SealedSegment> &named)
+QList<QPair<SealedSegment, Revision>>
+SealedClaims::retainOnly(const QList<SealedSegment> &references)
 {
-    QList<QPair<SealedSegment, Revision>> forgotten;
+    QList<QPair<SealedSegment, Revision>> removed;
     for (auto entry = m_segments.begin(); entry != m_segments.end();) {
-        if (named.contains(entry->place)) {
+        if (references.contains(entry->reference)) {
             ++entry;
             continue;
         }
-        forgotten.append({entry->place, entry->revision});
+        removed.append({entry->reference, entry->revision});
         entry = m_segments.erase(entry);
     }
-    return forgotten;
+    return removed;
 }
 
 std::optional<Claim> SealedClaims::find(const QByteArray &claimKey) const
--- a/src/claims/SealedClaims.h
+++ b/src/claims/SealedClaims.h
@@ -1,4 +1,3 @@
-// Defines SealedClaims, what a daemon knows of the sealed segments of a shard.
 #pragma once
 
 #include "claims/ClaimSegment.h"
@@ -8,29 +7,31 @@
 
 namespace cranberry {
 
-/// Sealed segments never change, so what was read once stays known.
+/// A daemon's cache of the sealed segments of a shard.
+/// Sealed segments are immutable, so cached ones are never read again.
 /// Thread safety: a value type; distinct objects may be used from distinct threads.
 class SealedClaims
 {
 public:
     void insert(const SealedSegment &sealed, Revision revision, const ClaimSegment &segment);
 
-    /// Those of @p named that are not known yet.
-    QList<SealedSegment> missing(const QList<SealedSegment> &named) const;
+    /// Those of @p references that are not in the cache.
+    QList<SealedSegment> findMissing(const QList<SealedSegment> &references) const;
 
-    /// Forgets all but @p named. Returns the forgotten with their revisions.
-    QList<QPair<SealedSegment, Revision>> keepOnly(const QList<SealedSegment> &named);
+    /// Removes all segments but @p references from the cache. Returns the removed ones with their
+    /// revisions.
+    QList<QPair<SealedSegment, Revision>> retainOnly(const QList<SealedSegment> &references);
 
     std::optional<Claim> find(const QByteArray &claimKey) const;
 
 private:
     struct Segment {
-        SealedSegment place;
+        SealedSegment reference;
         Revision revision;
         QHash<QByteArray, Claim> claims;
     };
 
-    /// By the revision of the sealed head, which is unique in a shard.
+    /// By the revision of the head that was sealed, which is unique in a shard.
     QMap<qint64, Segment> m_segments;
 };
 
--- a/src/claims/SegmentUpdate.cpp
+++ b/src/claims/SegmentUpdate.cpp
@@ -8,26 +8,27 @@
 
 namespace {
 
-OperationStep decideClaim(const std::optional<Claim> &standing, const Claim &wanted)
+OperationDecision decideClaim(const std::optional<Claim> &existing, const Claim &requested)
 {
-    if (!standing)
-        return OperationStep::Write;
-    return standing->attempt == wanted.attempt ? OperationStep::Done : OperationStep::Held;
+    if (!existing)
+        return OperationDecision::Write;
+    return existing->attempt == requested.attempt ? OperationDecision::Done
+                                                  : OperationDecision::Held;
 }
 
-// A claim in a sealed segment cannot be taken back.
-OperationStep decideRelease(const ClaimSegment &head, const SealedClaims &sealedClaims,
-                            const ClaimOperation &operation)
+// A claim in a sealed segment cannot be released.
+OperationDecision decideRelease(const ClaimSegment &head, const SealedClaims &sealedClaims,
+                                const ClaimOperation &operation)
 {
     const Claim &released = operation.claim;
     if (operation.kind == ClaimOperation::Kind::Void) {
-        const std::optional<Claim> standing = sealedClaims.find(released.key);
-        const bool isSealed = standing && standing->attempt == released.attempt;
-        return isSealed ? OperationStep::Done : OperationStep::Write;
+        const std::optional<Claim> existing = sealedClaims.find(released.key);
+        const bool isSealed = existing && existing->attempt == released.attempt;
+        return isSealed ? OperationDecision::Done : OperationDecision::Write;
     }
-    const std::optional<Claim> standing = findClaim(head, released.key);
-    const bool stands = standing && standing->attempt == released.attempt;
-    return stands ? OperationStep::Write : OperationStep::Done;
+    const std::optional<Claim> existing = findClaim(head, released.key);
+    const bool isStored = existing && existing->attempt == released.attempt;
+    return isStored ? OperationDecision::Write : OperationDecision::Done;
 }
 
 } // namespace
@@ -35,32 +36,34 @@
 SegmentUpdate decideOperations(const ClaimSegment &head, Revision headRevision,
                                const SealedClaims &sealedClaims,
                                const QList<ClaimOperation> &operations, qint64 nowMs,
-                               int fullSegment, std::chrono::hours retention)
+                               int maxSegmentClaims, std::chrono::hours retention)
 {
     SegmentUpdate update;
-    QSet<QByteArray> touched;
+    QSet<QByteArray> changedKeys;
     QList<Claim> added;
     QList<Claim> released;
     for (const ClaimOperation &operation : operations) {
         const Claim &claim = operation.claim;
-        const bool releases = operation.kind != ClaimOperation::Kind::Claim;
-        std::optional<Claim> standing = findClaim(head, claim.key);
-        if (!standing)
-            standing = sealedClaims.find(claim.key);
-        OperationStep step =
-            releases ? decideRelease(head, sealedClaims, operation) : decideClaim(standing, claim);
-        if (step == OperationStep::Write && touched.contains(claim.key))
-            step = OperationStep::Wait;
-        if (step == OperationStep::Write) {
-            touched.insert(claim.key);
-            (releases ? released : added).append(claim);
+        const bool isRelease = operation.kind != ClaimOperation::Kind::Claim;
+        std::optional<Claim> existing = findClaim(head, claim.key);
+        if (!existing)
+            existing = sealedClaims.find(claim.key);
+        OperationDecision decision =
+            isRelease ? decideRelease(head, sealedClaims, operation) : decideClaim(existing, claim);
+        if (decision == OperationDecision::Write && changedKeys.contains(claim.key))
+            decision = OperationDecision::Wait;
+        if (decision == OperationDecision::Write) {
+            changedKeys.insert(claim.key);
+            (isRelease ? released : added).append(claim);
         }
-        update.steps.append(step);
-        update.holders.append(step == OperationStep::Held ? *standing : Claim());
+        update.decisions.append(decision);
+        update.holders.append(decision == OperationDecision::Held ? *existing : Claim());
     }
-    // A claim cannot be taken out of a sealed segment, so releases go before a seal.
-    update.seals = head.claims.size() >= fullSegment && released.isEmpty() && !added.isEmpty();
-    update.next = update.seals ? segmentAfterSeal(head, headRevision, nowMs, retention) : head;
+    // A claim cannot be removed from a sealed segment, so releases are written before a seal.
+    update.requiresSeal =
+        head.claims.size() >= maxSegmentClaims && released.isEmpty() && !added.isEmpty();
+    update.next =
+        update.requiresSeal ? segmentAfterSeal(head, headRevision, nowMs, retention) : head;
     for (const Claim &claim : released)
         removeClaim(update.next, claim.key, claim.attempt);
     update.next.claims.append(added);
--- a/src/claims/SegmentUpdate.h
+++ b/src/claims/SegmentUpdate.h
@@ -1,4 +1,3 @@
-// Defines SegmentUpdate, what a batch of operations makes of the open segment of a shard.
 #pragma once
 
 #include "claims/ClaimOperation.h"
@@ -7,35 +6,36 @@
 
 namespace cranberry {
 
-enum class OperationStep {
-    /// Settled by what already stands.
+enum class OperationDecision {
+    /// Complete with the stored claims as they are.
     Done,
     /// Another attempt holds the key.
     Held,
-    /// Done once the update is written.
+    /// Complete once the update is written.
     Write,
-    /// Another operation of the batch is about the same key: to be decided after the write.
+    /// An earlier operation of the batch changes the same key; decided again after the write.
     Wait,
 };
 
+/// The effect of a batch of operations on the open segment of a shard.
 struct SegmentUpdate {
-    /// The value of the head to be written, if any step is Write.
+    /// The new head, to be written if any decision is Write.
     ClaimSegment next;
-    /// The present segment has to be sealed before.
-    bool seals = false;
-    /// One for each operation.
-    QList<OperationStep> steps;
-    /// For each step that is Held, the claim that stands, else an empty one.
+    /// The present head has to be sealed first.
+    bool requiresSeal = false;
+    /// One decision per operation.
+    QList<OperationDecision> decisions;
+    /// One entry per operation: the stored claim if the decision is Held, otherwise an empty claim.
     QList<Claim> holders;
 };
 
-/// Decides @p operations on @p head, the open segment at @p headRevision, and all that is
-/// sealed. A claim that already stands for the same attempt is done: its earlier write was
-/// not answered. Thread-safe.
-/// Precondition: @p sealedClaims knows every segment that @p head names.
+/// Decides @p operations from @p head, the open segment at @p headRevision, and the sealed
+/// segments. A claim already stored for the same attempt is Done: an earlier write of it took
+/// effect without an answer. Thread-safe.
+/// Precondition: @p sealedClaims has every segment that @p head references.
 SegmentUpdate decideOperations(const ClaimSegment &head, Revision headRevision,
                                const SealedClaims &sealedClaims,
                                const QList<ClaimOperation> &operations, qint64 nowMs,
-                               int fullSegment, std::chrono::hours retention);
+                               int maxSegmentClaims, std::chrono::hours retention);
 
 } // namespace cranberry
--- a/test/correctness/ClaimInterleavings.cpp
+++ b/test/correctness/ClaimInterleavings.cpp
@@ -55,9 +55,9 @@
         , members(vmNumber(number), view)
     {
         ClaimSettings settings;
-        settings.fullSegment = 3;
+        settings.maxSegmentClaims = 3;
         claims = std::make_unique<ClaimStore>(
-            ClaimStore::Surroundings{store, timers, members, peers}, settings, [] { return 0; });
+            ClaimStore::Dependencies{store, timers, members, peers}, settings, [] { return 0; });
     }
 
     test::InterleavedStore store;
--- a/test/correctness/ClaimSegments.cpp
+++ b/test/correctness/ClaimSegments.cpp
@@ -50,10 +50,10 @@
 {
     const ClaimSegment head = segmentWith({claimOf("k", "a1")});
     const SegmentUpdate update = decided(head, {}, {claiming("k", "a2"), claiming("l", "a3")});
-    BOOST_CHECK(update.steps == QList({OperationStep::Held, OperationStep::Write}));
+    BOOST_CHECK(update.decisions == QList({OperationDecision::Held, OperationDecision::Write}));
     BOOST_CHECK(update.holders[0] == claimOf("k", "a1"));
     BOOST_CHECK(update.next.claims == QList({claimOf("k", "a1"), claimOf("l", "a3")}));
-    BOOST_CHECK(!update.seals);
+    BOOST_CHECK(!update.requiresSeal);
 }
 
 BOOST_AUTO_TEST_CASE(KeyInASealedSegmentIsHeld)
@@ -61,7 +61,7 @@
     SealedClaims sealedClaims;
     sealedClaims.insert({0, Revision(3), 0}, Revision(4), segmentWith({claimOf("k", "a1")}));
     const SegmentUpdate update = decided({}, sealedClaims, {claiming("k", "a2")});
-    BOOST_CHECK(update.steps == QList({OperationStep::Held}));
+    BOOST_CHECK(update.decisions == QList({OperationDecision::Held}));
 }
 
 BOOST_AUTO_TEST_CASE(ClaimThatStandsForTheSameAttemptIsDone)
@@ -71,13 +71,13 @@
     const ClaimSegment head = segmentWith({claimOf("k", "a1")});
     const SegmentUpdate update =
         decided(head, sealedClaims, {claiming("k", "a1"), claiming("l", "a2")});
-    BOOST_CHECK(update.steps == QList({OperationStep::Done, OperationStep::Done}));
+    BOOST_CHECK(update.decisions == QList({OperationDecision::Done, OperationDecision::Done}));
 }
 
 BOOST_AUTO_TEST_CASE(OfTwoClaimsOfABatchForOneKeyTheSecondWaitsForTheWrite)
 {
     const SegmentUpdate update = decided({}, {}, {claiming("k", "a1"), claiming("k", "a2")});
-    BOOST_CHECK(update.steps == QList({OperationStep::Write, OperationStep::Wait}));
+    BOOST_CHECK(update.decisions == QList({OperationDecision::Write, OperationDecision::Wait}));
     BOOST_CHECK(update.next.claims == QList({claimOf("k", "a1")}));
 }
 
@@ -85,7 +85,7 @@
 {
     const ClaimSegment head = segmentWith({claimOf("k", "a1"), claimOf("l", "a2")});
     const SegmentUpdate update = decided(head, {}, {releasing("k", "a9"), releasing("l", "a2")});
-    BOOST_CHECK(update.steps == QList({OperationStep::Done, OperationStep::Write}));
+    BOOST_CHECK(update.decisions == QList({OperationDecision::Done, OperationDecision::Write}));
     BOOST_CHECK(update.next.claims == QList({claimOf("k", "a1")}));
 }
 
@@ -93,10 +93,10 @@
 {
     const ClaimOperation voiding{ClaimOperation::Kind::Void, claimOf("k", "a1")};
     const SegmentUpdate absent = decided(segmentWith({claimOf("l", "a2")}), {}, {voiding});
-    BOOST_CHECK(absent.steps == QList({OperationStep::Write}));
+    BOOST_CHECK(absent.decisions == QList({OperationDecision::Write}));
     BOOST_CHECK(absent.next.claims == QList({claimOf("l", "a2")}));
     const SegmentUpdate standing = decided(segmentWith({claimOf("k", "a1")}), {}, {voiding});
-    BOOST_CHECK(standing.steps == QList({OperationStep::Write}));
+    BOOST_CHECK(standing.decisions == QList({OperationDecision::Write}));
     BOOST_CHECK(standing.next.claims.isEmpty());
 }
 
@@ -104,7 +104,7 @@
 {
     const ClaimSegment head = segmentWith({claimOf("k", "a1"), claimOf("l", "a2")});
     const SegmentUpdate update = decided(head, {}, {claiming("m", "a3")}, 5);
-    BOOST_REQUIRE(update.seals);
+    BOOST_REQUIRE(update.requiresSeal);
     BOOST_CHECK(update.next.sequence == 1);
     BOOST_CHECK(update.next.claims == QList({claimOf("m", "a3")}));
     BOOST_CHECK(update.next.sealed == QList({SealedSegment{0, HeadRevision, 5}}));
@@ -115,7 +115,7 @@
 {
     const ClaimSegment head = segmentWith({claimOf("k", "a1"), claimOf("l", "a2")});
     const SegmentUpdate update = decided(head, {}, {claiming("m", "a3"), releasing("k", "a1")});
-    BOOST_CHECK(!update.seals);
+    BOOST_CHECK(!update.requiresSeal);
     BOOST_CHECK(update.next.claims == QList({claimOf("l", "a2"), claimOf("m", "a3")}));
 }
 
@@ -124,7 +124,7 @@
     ClaimSegment head = segmentWith({claimOf("k", "a1"), claimOf("l", "a2")});
     head.sequence = 2;
     head.sealed = {{0, Revision(1), 0}, {1, Revision(2), 1}};
-    const qint64 nowMs = Milliseconds(Retention + ClaimClockSkew).count() + 1;
+    const qint64 nowMs = Milliseconds(Retention + MaxClaimClockSkew).count() + 1;
     const SegmentUpdate update = decided(head, {}, {claiming("m", "a3")}, nowMs);
     BOOST_CHECK(
         update.next.sealed
@@ -177,9 +177,9 @@
         MonotonicTime now{1h};
         for (int i = 0; i < 1000; ++i) {
             now += gap;
-            rate = afterArrival(rate, now);
+            rate = recordArrival(rate, now);
         }
-        return gatherWindow(rate, now, Longest);
+        return batchWindow(rate, now, Longest);
     };
     BOOST_CHECK(windowAt(2s) == 0ms);
     BOOST_CHECK(windowAt(400ms) > 0ms);
@@ -192,9 +192,9 @@
     ArrivalRate rate;
     const MonotonicTime now{1h};
     for (int i = 0; i < 1000; ++i)
-        rate = afterArrival(rate, now);
-    BOOST_CHECK(gatherWindow(rate, now, 250ms) == 250ms);
-    BOOST_CHECK(gatherWindow(rate, now + 1min, 250ms) == 0ms);
+        rate = recordArrival(rate, now);
+    BOOST_CHECK(batchWindow(rate, now, 250ms) == 250ms);
+    BOOST_CHECK(batchWindow(rate, now + 1min, 250ms) == 0ms);
 }
 
 BOOST_AUTO_TEST_CASE(AgeIsReadFromUuidV7Only)
--- a/test/correctness/ClaimUpkeep.cpp
+++ b/test/correctness/ClaimUpkeep.cpp
@@ -47,7 +47,7 @@
     static ClaimSettings settings()
     {
         ClaimSettings settings;
-        settings.fullSegment = FullSegment;
+        settings.maxSegmentClaims = FullSegment;
         return settings;
     }
 
@@ -85,7 +85,7 @@
         claimOne();
     const QStringList old = sealedKeys();
     BOOST_REQUIRE(old.size() == 2);
-    nowMs = Milliseconds(ClaimSettings().retention + ClaimClockSkew).count() + 1;
+    nowMs = Milliseconds(ClaimSettings().retention + MaxClaimClockSkew).count() + 1;
     for (int i = 0; i < FullSegment; ++i)
         claimOne();
     BOOST_CHECK(test::waitFor([&] { return sealedKeys().size() == 1; }));
--- a/test/failure/ClaimsThroughOutages.cpp
+++ b/test/failure/ClaimsThroughOutages.cpp
@@ -42,8 +42,8 @@
 ClaimSettings testSettings()
 {
     ClaimSettings settings;
-    settings.fullSegment = 3;
-    settings.releasePause = Milliseconds(20);
+    settings.maxSegmentClaims = 3;
+    settings.releaseRetryBackoff = Milliseconds(20);
     return settings;
 }
 
--- a/test/performance/ClaimMemory.cpp
+++ b/test/performance/ClaimMemory.cpp
@@ -47,7 +47,7 @@
         return 2;
     }
     const int claims = std::atoi(argv[1]);
-    const int segmentSize = argc > 2 ? std::atoi(argv[2]) : ClaimSettings().fullSegment;
+    const int segmentSize = argc > 2 ? std::atoi(argv[2]) : ClaimSettings().maxSegmentClaims;
     std::vector<QByteArray> values;
     qint64 encodedBytes = 0;
     for (int done = 0; done < claims; done += segmentSize) {
