--- a/src/peer/PeerFrame.cpp
+++ b/src/peer/PeerFrame.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr qint64 FirstKind = qint64(PeerMessageKind::Heartbeat);
-constexpr qint64 LastKind = qint64(PeerMessageKind::TargetLeaving);
+constexpr qint64 MinKind = qint64(PeerMessageKind::Heartbeat);
+constexpr qint64 MaxKind = qint64(PeerMessageKind::TargetLeaving);
 
 } // namespace
 
@@ -31,7 +31,7 @@
     if (array.size() != 2 || !array.at(0).isInteger() || !array.at(1).isMap())
         return std::nullopt;
     const qint64 kind = array.at(0).toInteger();
-    if (kind < FirstKind || kind > LastKind)
+    if (kind < MinKind || kind > MaxKind)
         return std::nullopt;
     return PeerFrame{PeerMessageKind(kind), array.at(1).toMap()};
 }
--- a/src/peer/PeerFrame.h
+++ b/src/peer/PeerFrame.h
@@ -1,4 +1,3 @@
-// Defines PeerFrame, one message between daemons, and its CBOR form [kind, body].
 #pragma once
 
 #include "peer/PeerMessageKind.h"
@@ -10,12 +9,13 @@
 
 namespace cranberry {
 
+/// One message between daemons.
 struct PeerFrame {
     PeerMessageKind kind = PeerMessageKind::Heartbeat;
     QCborMap body;
 };
 
-/// Thread-safe.
+/// The CBOR array [kind, body]. Thread-safe.
 QByteArray encodePeerFrame(const PeerFrame &frame);
 
 /// Empty if @p bytes are not exactly one well-formed frame of a known kind. Thread-safe.
--- a/src/peer/PeerLink.cpp
+++ b/src/peer/PeerLink.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// A peer whose VM vanished acknowledges nothing and sends no reset: without the limit the
-/// kernel goes on resending for a quarter of an hour, and the link looks healthy.
-void limitUnacknowledgedTime(QTcpSocket &socket, Milliseconds limit)
+/// A peer whose VM has vanished neither acknowledges nor resets. Without this timeout the kernel
+/// retransmits for a quarter of an hour, during which the link appears healthy.
+void setUnacknowledgedTimeout(QTcpSocket &socket, Milliseconds limit)
 {
     const unsigned milliseconds = unsigned(limit.count());
     setsockopt(int(socket.socketDescriptor()), IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds,
@@ -25,14 +25,15 @@
 
 } // namespace
 
-PeerLink::PeerLink(const Owner &owner, QTcpSocket *socket, VmId peer, PeerLinkCallbacks callbacks)
-    : m_owner(owner)
+PeerLink::PeerLink(const Context &context, QTcpSocket *socket, VmId peer,
+                   PeerLinkCallbacks callbacks)
+    : m_context(context)
     , m_socket(socket)
     , m_dialled(!peer.isEmpty())
     , m_peer(std::move(peer))
     , m_callbacks(std::move(callbacks))
-    , m_ownNonce(proofNonce())
-    , m_lastSend(owner.timers.now())
+    , m_ownNonce(makeProofNonce())
+    , m_lastSend(context.timers.now())
 {
     WebSocketCallbacks session;
     session.output = [this](const QByteArray &bytes) { writeSocket(bytes); };
@@ -42,18 +43,18 @@
     };
     session.received = [this](const QByteArray &message) { onMessage(message); };
     session.ended = [this](const QString &fault) {
-        end(fault.isEmpty() ? PeerLinkEnd::Goodbye : PeerLinkEnd::Invalid, fault);
+        end(fault.isEmpty() ? PeerLinkEndReason::Closed : PeerLinkEndReason::Invalid, fault);
     };
     m_session = std::make_unique<WebSocketSession>(
-        m_dialled ? WebSocketRole::Dialler : WebSocketRole::Listener, owner.limits.frameBeforeProof,
-        std::move(session));
-    m_handshakeTimeout = owner.timers.after(owner.limits.handshake, [this] {
-        end(PeerLinkEnd::Broken, QStringLiteral("handshake timed out"));
+        m_dialled ? WebSocketRole::Dialler : WebSocketRole::Listener,
+        context.limits.maxHandshakeFrameSize, std::move(session));
+    m_handshakeTimeout = context.timers.after(context.limits.handshakeTimeout, [this] {
+        end(PeerLinkEndReason::Broken, QStringLiteral("handshake timed out"));
     });
     QObject::connect(socket, &QTcpSocket::readyRead, socket, [this] { readSocket(); });
     QObject::connect(socket, &QTcpSocket::connected, socket, [this] { start(); });
     QObject::connect(socket, &QTcpSocket::errorOccurred, socket,
-                     [this, socket] { end(PeerLinkEnd::Broken, socket->errorString()); });
+                     [this, socket] { end(PeerLinkEndReason::Broken, socket->errorString()); });
     if (!m_dialled)
         start();
 }
@@ -70,21 +71,21 @@
 void PeerLink::start()
 {
     m_socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
-    limitUnacknowledgedTime(*m_socket, m_owner.limits.stall);
+    setUnacknowledgedTimeout(*m_socket, m_context.limits.unacknowledgedTimeout);
     m_session->start();
 }
 
 void PeerLink::readSocket()
 {
-    if (m_ended)
+    if (m_hasEnded)
         return;
     const QByteArray bytes = m_socket->readAll();
-    m_owner.traffic.bytesIn += bytes.size();
-    ++m_owner.traffic.chunksIn;
-    if (!m_proven) {
-        m_bytesBeforeProof += bytes.size();
-        if (!m_dialled && m_bytesBeforeProof > m_owner.limits.bytesBeforeProof.value()) {
-            end(PeerLinkEnd::Invalid, QStringLiteral("too many bytes before the proof"));
+    m_context.traffic.bytesIn += bytes.size();
+    ++m_context.traffic.chunksIn;
+    if (!m_isAuthenticated) {
+        m_handshakeBytes += bytes.size();
+        if (!m_dialled && m_handshakeBytes > m_context.limits.maxHandshakeBytes.value()) {
+            end(PeerLinkEndReason::Invalid, QStringLiteral("too many bytes before authentication"));
             return;
         }
     }
@@ -95,19 +96,19 @@
 {
     if (!m_socket)
         return;
-    m_owner.traffic.bytesOut += bytes.size();
-    ++m_owner.traffic.chunksOut;
+    m_context.traffic.bytesOut += bytes.size();
+    ++m_context.traffic.chunksOut;
     m_socket->write(bytes);
 }
 
 void PeerLink::onMessage(const QByteArray &message)
 {
-    if (m_ended)
+    if (m_hasEnded)
         return;
-    if (m_proven) {
+    if (m_isAuthenticated) {
         const std::optional<PeerFrame> frame = decodePeerFrame(message);
         if (!frame) {
-            end(PeerLinkEnd::Invalid, QStringLiteral("malformed frame"));
+            end(PeerLinkEndReason::Invalid, QStringLiteral("malformed frame"));
             return;
         }
         m_callbacks.received(*frame);
@@ -115,109 +116,113 @@
     }
     if (!m_dialled)
         onDiallerProof(message);
-    else if (!m_challenged)
+    else if (!m_hasChallenge)
         onChallenge(message);
     else
         onListenerProof(message);
 }
 
-ProofSubject PeerLink::subject() const
+ProofSubject PeerLink::proofSubject() const
 {
     if (m_dialled)
-        return {m_ownNonce, m_peerNonce, m_owner.self, m_peer};
-    return {m_peerNonce, m_ownNonce, m_peer, m_owner.self};
+        return {m_ownNonce, m_peerNonce, m_context.self, m_peer};
+    return {m_peerNonce, m_ownNonce, m_peer, m_context.self};
 }
 
 void PeerLink::onChallenge(const QByteArray &nonce)
 {
     if (nonce.size() != ProofNonceSize) {
-        end(PeerLinkEnd::Invalid, QStringLiteral("malformed challenge"));
+        end(PeerLinkEndReason::Invalid, QStringLiteral("malformed challenge"));
         return;
     }
-    m_challenged = true;
+    m_hasChallenge = true;
     m_peerNonce = nonce;
-    const QByteArray proof = peerProof(m_owner.secret, ProofDirection::FromDialler, subject());
-    m_session->send(encodeDiallerProof({m_owner.self, m_peer, m_ownNonce, proof}));
+    const QByteArray proof =
+        computePeerProof(m_context.secret, ProofDirection::FromDialler, proofSubject());
+    m_session->send(encodeDiallerProof({m_context.self, m_peer, m_ownNonce, proof}));
 }
 
 void PeerLink::onDiallerProof(const QByteArray &message)
 {
-    const std::optional<DiallerProof> shown = decodeDiallerProof(message);
-    if (!shown) {
-        end(PeerLinkEnd::Invalid, QStringLiteral("malformed proof"));
+    const std::optional<DiallerProof> diallerProof = decodeDiallerProof(message);
+    if (!diallerProof) {
+        end(PeerLinkEndReason::Invalid, QStringLiteral("malformed proof"));
         return;
     }
-    m_peerNonce = shown->nonce;
-    m_peer = shown->dialler;
-    const QByteArray expected = peerProof(m_owner.secret, ProofDirection::FromDialler, subject());
-    // A dialler that means another VM has an outdated address: its proof names that VM, so it
-    // differs from the expected one just as with a wrong secret.
-    if (!equalProofs(shown->proof, expected)) {
-        const QString claimed = m_peer.text();
+    m_peerNonce = diallerProof->nonce;
+    m_peer = diallerProof->dialler;
+    const QByteArray expected =
+        computePeerProof(m_context.secret, ProofDirection::FromDialler, proofSubject());
+    // A dialler with an outdated address intends to reach another VM. Its proof contains that VM's
+    // name and therefore differs from the expected one, as it does with a wrong secret.
+    if (!constantTimeEqual(diallerProof->proof, expected)) {
+        const QString claimedName = m_peer.text();
         m_peer = VmId();
-        end(PeerLinkEnd::Rejected,
-            QStringLiteral("wrong proof from one that says it is ") + claimed
-                + QStringLiteral(" and means ") + shown->listener.text());
+        end(PeerLinkEndReason::Rejected,
+            QStringLiteral("invalid proof from a peer that claims to be ") + claimedName
+                + QStringLiteral(" and addresses ") + diallerProof->listener.text());
         return;
     }
-    m_session->send(peerProof(m_owner.secret, ProofDirection::FromListener, subject()));
-    becomeProven();
+    m_session->send(
+        computePeerProof(m_context.secret, ProofDirection::FromListener, proofSubject()));
+    completeHandshake();
 }
 
 void PeerLink::onListenerProof(const QByteArray &proof)
 {
-    const QByteArray expected = peerProof(m_owner.secret, ProofDirection::FromListener, subject());
-    if (!equalProofs(proof, expected)) {
-        end(PeerLinkEnd::Rejected, QStringLiteral("wrong proof of the listener"));
+    const QByteArray expected =
+        computePeerProof(m_context.secret, ProofDirection::FromListener, proofSubject());
+    if (!constantTimeEqual(proof, expected)) {
+        end(PeerLinkEndReason::Rejected, QStringLiteral("invalid proof from the listener"));
         return;
     }
-    becomeProven();
+    completeHandshake();
 }
 
-void PeerLink::becomeProven()
+void PeerLink::completeHandshake()
 {
-    m_proven = true;
+    m_isAuthenticated = true;
     m_handshakeTimeout.reset();
-    m_session->setLargestMessage(m_owner.limits.frame);
-    for (const QByteArray &frame : std::exchange(m_waiting, {}))
+    m_session->setMaxMessageSize(m_context.limits.maxFrameSize);
+    for (const QByteArray &frame : std::exchange(m_sendQueue, {}))
         m_session->send(frame);
-    m_waitingBytes = 0;
-    m_callbacks.proven();
+    m_sendQueueBytes = 0;
+    m_callbacks.authenticated();
 }
 
 bool PeerLink::send(const QByteArray &frame)
 {
-    if (m_ended || !m_socket)
+    if (m_hasEnded || !m_socket)
         return false;
-    m_lastSend = m_owner.timers.now();
-    const qint64 queued = m_waitingBytes + m_socket->bytesToWrite() + frame.size();
-    if (queued > m_owner.limits.sendQueue.value())
+    m_lastSend = m_context.timers.now();
+    const qint64 queued = m_sendQueueBytes + m_socket->bytesToWrite() + frame.size();
+    if (queued > m_context.limits.maxSendQueueBytes.value())
         return false;
-    if (m_proven)
+    if (m_isAuthenticated)
         return m_session->send(frame);
-    m_waiting.append(frame);
-    m_waitingBytes += frame.size();
+    m_sendQueue.append(frame);
+    m_sendQueueBytes += frame.size();
     return true;
 }
 
 void PeerLink::close()
 {
-    if (m_ended)
+    if (m_hasEnded)
         return;
-    m_ended = true;
-    if (m_proven)
+    m_hasEnded = true;
+    if (m_isAuthenticated)
         m_session->close();
     if (m_socket)
         m_socket->flush();
 }
 
-void PeerLink::end(PeerLinkEnd end, const QString &detail)
+void PeerLink::end(PeerLinkEndReason reason, const QString &detail)
 {
-    if (m_ended)
+    if (m_hasEnded)
         return;
-    m_ended = true;
+    m_hasEnded = true;
     m_handshakeTimeout.reset();
-    m_callbacks.ended(end, detail);
+    m_callbacks.ended(reason, detail);
 }
 
 } // namespace cranberry
--- a/src/peer/PeerLink.h
+++ b/src/peer/PeerLink.h
@@ -1,4 +1,3 @@
-// Defines PeerLink, one connection to another daemon and the proof on it.
 #pragma once
 
 #include "base/Ids.h"
@@ -21,33 +20,36 @@
 class TimerSubscription;
 class WebSocketSession;
 
-enum class PeerLinkEnd {
-    /// A side closed the link on purpose.
-    Goodbye,
-    /// The connection broke, could not be made, stalled, or timed out in the handshake.
+/// Why a link ended.
+enum class PeerLinkEndReason {
+    /// One side closed the link intentionally.
+    Closed,
+    /// The connection failed, could not be established, stalled, or timed out in the handshake.
     Broken,
-    /// The peer does not know the secret, or is not the one meant.
+    /// The peer does not know the secret or is not the intended VM.
     Rejected,
-    /// The peer broke the protocol.
+    /// The peer violated the protocol.
     Invalid,
 };
 
 struct PeerLinkCallbacks {
-    /// Both sides have proved the secret; nothing was handed over before.
-    std::function<void()> proven;
+    /// Both sides are authenticated; no frame is passed to received before.
+    std::function<void()> authenticated;
     std::function<void(const PeerFrame &frame)> received;
-    /// Called once and last; the link may only be destroyed after it returned.
-    std::function<void(PeerLinkEnd end, const QString &detail)> ended;
+    /// Called once, as the last callback; the link may only be destroyed after it has returned.
+    std::function<void(PeerLinkEndReason reason, const QString &detail)> ended;
 };
 
-/// The listener sends a nonce, the dialler answers with its own and a proof over both, and only
-/// then the listener proves itself too. Frames before that are small and of this handshake.
+/// One authenticated connection to another daemon.
+/// Mutual challenge-response: the listener sends a nonce, the dialler answers with its own nonce
+/// and a proof over both, and then the listener sends its proof. Until then only frames of this
+/// handshake are accepted, up to PeerLinkLimits::maxHandshakeFrameSize.
 /// Thread safety: only from the thread of its socket; callbacks run in it.
 class PeerLink
 {
 public:
-    /// What all links of one daemon share; outlives them.
-    struct Owner {
+    /// Shared by all links of one daemon; outlives them.
+    struct Context {
         TimerService &timers;
         const PeerLinkLimits &limits;
         PeerTraffic &traffic;
@@ -55,19 +57,20 @@
         QByteArray secret;
     };
 
-    /// Takes over @p socket: connected if this side listened, connecting if it dialled. @p peer
-    /// is whom this side dialled, else empty.
-    PeerLink(const Owner &owner, QTcpSocket *socket, VmId peer, PeerLinkCallbacks callbacks);
+    /// Takes ownership of @p socket, which is connected if this side listened and connecting if it
+    /// dialled. @p peer is the VM that this side dialled, or empty if it listened.
+    PeerLink(const Context &context, QTcpSocket *socket, VmId peer, PeerLinkCallbacks callbacks);
     ~PeerLink();
 
-    /// Sends now or, before the proof, later. False if the bound on waiting bytes is reached.
+    /// Sends @p frame, or queues it until the link is authenticated. Returns false if the link has
+    /// ended or PeerLinkLimits::maxSendQueueBytes would be exceeded.
     bool send(const QByteArray &frame);
-    /// Ends the link on purpose, without a call of ended.
+    /// Closes the link without calling PeerLinkCallbacks::ended.
     void close();
 
-    bool isProven() const { return m_proven; }
+    bool isAuthenticated() const { return m_isAuthenticated; }
     bool isDialled() const { return m_dialled; }
-    /// Whom the link leads to; empty before an incoming link is proven.
+    /// The VM at the other end; empty before an incoming link is authenticated.
     const VmId &peer() const { return m_peer; }
     MonotonicTime lastSend() const { return m_lastSend; }
 
@@ -79,11 +82,11 @@
     void onChallenge(const QByteArray &nonce);
     void onDiallerProof(const QByteArray &message);
     void onListenerProof(const QByteArray &proof);
-    ProofSubject subject() const;
-    void becomeProven();
-    void end(PeerLinkEnd end, const QString &detail);
+    ProofSubject proofSubject() const;
+    void completeHandshake();
+    void end(PeerLinkEndReason reason, const QString &detail);
 
-    const Owner &m_owner;
+    const Context &m_context;
     QPointer<QTcpSocket> m_socket;
     const bool m_dialled;
     VmId m_peer;
@@ -92,12 +95,12 @@
     std::unique_ptr<TimerSubscription> m_handshakeTimeout;
     QByteArray m_ownNonce;
     QByteArray m_peerNonce;
-    QList<QByteArray> m_waiting;
-    qint64 m_waitingBytes = 0;
-    qint64 m_bytesBeforeProof = 0;
-    bool m_challenged = false;
-    bool m_proven = false;
-    bool m_ended = false;
+    QList<QByteArray> m_sendQueue;
+    qint64 m_sendQueueBytes = 0;
+    qint64 m_handshakeBytes = 0;
+    bool m_hasChallenge = false;
+    bool m_isAuthenticated = false;
+    bool m_hasEnded = false;
     MonotonicTime m_lastSend;
 };
 
--- a/src/peer/PeerLinkLimits.h
+++ b/src/peer/PeerLinkLimits.h
@@ -1,29 +1,29 @@
-// Defines PeerLinkLimits, the bounds on what other daemons can make a daemon hold.
 #pragma once
 
 #include "base/Units.h"
 
 namespace cranberry {
 
+/// Limits on the resources that other daemons can use.
 struct PeerLinkLimits {
-    /// Largest frame of a peer that has proved knowledge of the fleet secret.
-    Bytes frame{1024 * 1024};
-    /// Largest frame before the proof.
-    Bytes frameBeforeProof{1024};
-    /// All bytes before the proof, the HTTP upgrade included.
-    Bytes bytesBeforeProof{8 * 1024};
-    /// Bytes that wait to be sent to one peer.
-    Bytes sendQueue{2 * 1024 * 1024};
-    /// From the start of a connection to the proof.
-    Milliseconds handshake{5000};
-    /// An outgoing link without a send for so long is closed.
-    Milliseconds idle{60'000};
-    /// Sent bytes that are not acknowledged for so long break the link.
-    Milliseconds stall{10'000};
-    Milliseconds backoffFirst{100};
-    Milliseconds backoffLast{5000};
-    /// Incoming links that have not proved anything; one more drops the oldest.
-    int unprovenLinks = 64;
+    /// Maximum size of a frame from an authenticated peer.
+    Bytes maxFrameSize{1024 * 1024};
+    /// Maximum size of a frame before authentication.
+    Bytes maxHandshakeFrameSize{1024};
+    /// Maximum total bytes before authentication, the HTTP upgrade included.
+    Bytes maxHandshakeBytes{8 * 1024};
+    /// Maximum bytes waiting to be sent to one peer.
+    Bytes maxSendQueueBytes{2 * 1024 * 1024};
+    /// Time from the start of a connection to its authentication.
+    Milliseconds handshakeTimeout{5000};
+    /// An outgoing link without a send for this long is closed.
+    Milliseconds idleTimeout{60'000};
+    /// A link is broken when sent bytes are not acknowledged for this long.
+    Milliseconds unacknowledgedTimeout{10'000};
+    Milliseconds minBackoff{100};
+    Milliseconds maxBackoff{5000};
+    /// Maximum number of unauthenticated incoming links; a further one drops the oldest.
+    int maxUnauthenticatedLinks = 64;
 };
 
 } // namespace cranberry
--- a/src/peer/PeerLinks.cpp
+++ b/src/peer/PeerLinks.cpp
@@ -13,22 +13,22 @@
 
 namespace {
 
-constexpr Milliseconds LongestSweepInterval{5000};
+constexpr Milliseconds MaxIdleCheckInterval{5000};
 
-/// Half to all of @p backoff, so that daemons that lost one peer together do not all dial it
-/// again in the same moment.
+/// A random delay between half of @p backoff and @p backoff, so that daemons that lost the same
+/// peer do not all dial it again at the same time.
 Milliseconds jittered(Milliseconds backoff)
 {
     const qint64 half = backoff.count() / 2;
     return Milliseconds(half + qint64(QRandomGenerator::global()->bounded(double(half + 1))));
 }
 
-void logEnd(const VmId &peer, PeerLinkEnd end, const QString &detail)
+void logLinkEnd(const VmId &peer, PeerLinkEndReason reason, const QString &detail)
 {
-    if (end != PeerLinkEnd::Rejected && end != PeerLinkEnd::Invalid)
+    if (reason != PeerLinkEndReason::Rejected && reason != PeerLinkEndReason::Invalid)
         return;
     const EventId event =
-        end == PeerLinkEnd::Rejected ? EventId::PeerRejected : EventId::PeerFrameInvalid;
+        reason == PeerLinkEndReason::Rejected ? EventId::PeerRejected : EventId::PeerFrameInvalid;
     logEvent(LogLevel::Warning, event, {{"peer", peer.text()}, {"detail", detail}});
 }
 
@@ -37,8 +37,9 @@
 PeerLinks::PeerLinks(TimerService &timers, VmId self, QByteArray secret, PeerLinkLimits limits)
     : m_timers(timers)
     , m_limits(limits)
-    , m_owner{timers, m_limits, m_traffic, std::move(self), std::move(secret)}
-    , m_sweep(timers.every(std::min(LongestSweepInterval, limits.idle), [this] { closeIdle(); }))
+    , m_context{timers, m_limits, m_traffic, std::move(self), std::move(secret)}
+    , m_idleCheckTimer(timers.every(std::min(MaxIdleCheckInterval, limits.idleTimeout),
+                                    [this] { closeIdleLinks(); }))
 {
     QObject::connect(&m_server, &QTcpServer::newConnection, &m_server, [this] { accept(); });
 }
@@ -58,7 +59,7 @@
     if (!m_server.listen(address, port)) {
         Error error;
         error.kind = ErrorKind::BadRequest;
-        error.detail = QStringLiteral("peer port: ") + m_server.errorString();
+        error.detail = QStringLiteral("cannot listen on the peer port: ") + m_server.errorString();
         return error;
     }
     return m_server.serverPort();
@@ -72,7 +73,7 @@
     peer.address = address;
     peer.port = port;
     peer.backoff = Milliseconds(0);
-    peer.notBefore = MonotonicTime();
+    peer.nextDialAt = MonotonicTime();
     discard(std::move(peer.link));
 }
 
@@ -89,14 +90,14 @@
 {
     const QByteArray frame = encodePeerFrame({kind, body});
     auto found = m_peers.find(vm);
-    if (found == m_peers.end() || frame.size() > m_limits.frame.value())
+    if (found == m_peers.end() || frame.size() > m_limits.maxFrameSize.value())
         return false;
     if (!found->second.link) {
-        if (m_timers.now() < found->second.notBefore)
+        if (m_timers.now() < found->second.nextDialAt)
             return false;
         dial(vm, found->second);
-        // A refusal by this VM itself is reported before dial returns, and its callback may
-        // change the table.
+        // A connection error on this VM is reported before dial() returns, and its callback may
+        // change m_peers.
         found = m_peers.find(vm);
         if (found == m_peers.end() || !found->second.link)
             return false;
@@ -111,85 +112,85 @@
 
 void PeerLinks::onLinkLost(LinkLostCallback callback)
 {
-    m_linkLost = std::move(callback);
+    m_linkLostCallback = std::move(callback);
 }
 
 void PeerLinks::dial(const VmId &vm, Peer &peer)
 {
     auto *socket = new QTcpSocket;
     PeerLinkCallbacks callbacks;
-    callbacks.proven = [this, vm] { m_peers[vm].backoff = Milliseconds(0); };
-    // Nothing is expected on a link that this side dialled; whoever proved the secret may
-    // answer on it all the same.
+    callbacks.authenticated = [this, vm] { m_peers[vm].backoff = Milliseconds(0); };
+    // Peers send on the links that they dialled. A frame on a link that this side dialled is
+    // accepted nevertheless, since its peer is authenticated.
     callbacks.received = [this, vm](const PeerFrame &frame) { received(vm, frame); };
-    callbacks.ended = [this, vm](PeerLinkEnd end, const QString &detail) {
-        outgoingEnded(vm, end, detail);
+    callbacks.ended = [this, vm](PeerLinkEndReason reason, const QString &detail) {
+        onOutgoingEnded(vm, reason, detail);
     };
-    peer.link = std::make_unique<PeerLink>(m_owner, socket, vm, std::move(callbacks));
+    peer.link = std::make_unique<PeerLink>(m_context, socket, vm, std::move(callbacks));
     socket->connectToHost(peer.address, peer.port);
 }
 
 void PeerLinks::accept()
 {
     while (QTcpSocket *socket = m_server.nextPendingConnection()) {
-        // The link deletes its socket itself, whichever of server and link goes first.
+        // The link owns its socket, so the server must not delete it.
         socket->setParent(nullptr);
-        if (unprovenIncomingLinks() >= m_limits.unprovenLinks)
-            dropOldestUnproven();
+        if (unauthenticatedIncomingLinks() >= m_limits.maxUnauthenticatedLinks)
+            dropOldestUnauthenticated();
         auto handle = std::make_shared<PeerLink *>(nullptr);
         PeerLinkCallbacks callbacks;
-        callbacks.proven = [] {};
+        callbacks.authenticated = [] {};
         callbacks.received = [this, handle](const PeerFrame &frame) {
             received((*handle)->peer(), frame);
         };
-        callbacks.ended = [this, handle](PeerLinkEnd end, const QString &detail) {
-            incomingEnded(*handle, end, detail);
+        callbacks.ended = [this, handle](PeerLinkEndReason reason, const QString &detail) {
+            onIncomingEnded(*handle, reason, detail);
         };
-        auto link = std::make_unique<PeerLink>(m_owner, socket, VmId(), std::move(callbacks));
+        auto link = std::make_unique<PeerLink>(m_context, socket, VmId(), std::move(callbacks));
         *handle = link.get();
         m_incoming.push_back(std::move(link));
     }
 }
 
-void PeerLinks::dropOldestUnproven()
+void PeerLinks::dropOldestUnauthenticated()
 {
-    // Incoming links stand in the order of their arrival. Refusing the newest instead would let
-    // a stranger who opens connections and says nothing keep every daemon out.
+    // Incoming links are in order of arrival. If the newest were refused instead, a client that
+    // opens connections and stays silent would lock out every daemon.
     const auto oldest = std::find_if(m_incoming.begin(), m_incoming.end(),
-                                     [](const auto &link) { return !link->isProven(); });
+                                     [](const auto &link) { return !link->isAuthenticated(); });
     if (oldest == m_incoming.end())
         return;
     discard(std::move(*oldest));
     m_incoming.erase(oldest);
 }
 
-void PeerLinks::outgoingEnded(const VmId &vm, PeerLinkEnd end, const QString &detail)
+void PeerLinks::onOutgoingEnded(const VmId &vm, PeerLinkEndReason reason, const QString &detail)
 {
     const auto found = m_peers.find(vm);
     if (found == m_peers.end())
         return;
     Peer &peer = found->second;
-    logEnd(vm, end, detail);
-    peer.backoff = std::clamp(2 * peer.backoff, m_limits.backoffFirst, m_limits.backoffLast);
-    peer.notBefore = m_timers.now() + jittered(peer.backoff);
+    logLinkEnd(vm, reason, detail);
+    peer.backoff = std::clamp(2 * peer.backoff, m_limits.minBackoff, m_limits.maxBackoff);
+    peer.nextDialAt = m_timers.now() + jittered(peer.backoff);
     discard(std::move(peer.link));
-    if (end != PeerLinkEnd::Goodbye && m_linkLost)
-        m_linkLost(vm);
+    if (reason != PeerLinkEndReason::Closed && m_linkLostCallback)
+        m_linkLostCallback(vm);
 }
 
-void PeerLinks::incomingEnded(PeerLink *link, PeerLinkEnd end, const QString &detail)
+void PeerLinks::onIncomingEnded(PeerLink *link, PeerLinkEndReason reason, const QString &detail)
 {
     const VmId peer = link->peer();
-    const bool wasProven = link->isProven();
-    logEnd(peer, end, detail);
+    const bool wasAuthenticated = link->isAuthenticated();
+    logLinkEnd(peer, reason, detail);
     const auto found = std::find_if(m_incoming.begin(), m_incoming.end(),
                                     [link](const auto &other) { return other.get() == link; });
     if (found != m_incoming.end()) {
         discard(std::move(*found));
         m_incoming.erase(found);
     }
-    if (wasProven && end == PeerLinkEnd::Broken && m_linkLost)
-        m_linkLost(peer);
+    if (wasAuthenticated && reason == PeerLinkEndReason::Broken && m_linkLostCallback)
+        m_linkLostCallback(peer);
 }
 
 void PeerLinks::received(const VmId &from, const PeerFrame &frame)
@@ -203,41 +204,41 @@
 {
     if (!link)
         return;
-    // It may be calling us: it is destroyed from the event loop.
+    // The caller may be a callback of this link, so it is destroyed from the event loop.
     link->close();
     m_discarded.push_back(std::move(link));
-    if (!m_clearing) {
-        m_clearing = m_timers.after(Milliseconds(0), [this] {
+    if (!m_discardTimer) {
+        m_discardTimer = m_timers.after(Milliseconds(0), [this] {
             m_discarded.clear();
-            m_clearing.reset();
+            m_discardTimer.reset();
         });
     }
 }
 
-void PeerLinks::closeIdle()
+void PeerLinks::closeIdleLinks()
 {
-    const MonotonicTime oldest = m_timers.now() - m_limits.idle;
+    const MonotonicTime oldest = m_timers.now() - m_limits.idleTimeout;
     for (auto &entry : m_peers) {
         std::unique_ptr<PeerLink> &link = entry.second.link;
-        if (link && link->isProven() && link->lastSend() < oldest)
+        if (link && link->isAuthenticated() && link->lastSend() < oldest)
             discard(std::move(link));
     }
 }
 
-int PeerLinks::provenLinks() const
+int PeerLinks::authenticatedLinks() const
 {
     int count = 0;
     for (const auto &entry : m_peers)
-        count += entry.second.link && entry.second.link->isProven();
+        count += entry.second.link && entry.second.link->isAuthenticated();
     for (const std::unique_ptr<PeerLink> &link : m_incoming)
-        count += link->isProven();
+        count += link->isAuthenticated();
     return count;
 }
 
-int PeerLinks::unprovenIncomingLinks() const
+int PeerLinks::unauthenticatedIncomingLinks() const
 {
     return int(std::count_if(m_incoming.begin(), m_incoming.end(),
-                             [](const auto &link) { return !link->isProven(); }));
+                             [](const auto &link) { return !link->isAuthenticated(); }));
 }
 
 } // namespace cranberry
--- a/src/peer/PeerLinks.h
+++ b/src/peer/PeerLinks.h
@@ -1,4 +1,3 @@
-// Defines PeerLinks, the websocket links of one daemon to the others.
 #pragma once
 
 #include "base/Ids.h"
@@ -21,10 +20,12 @@
 class TimerService;
 class TimerSubscription;
 
-/// A daemon sends on the links that it dialled and receives on those that others dialled: one
-/// link each way. So two daemons that dial each other at once have nothing to settle, and a VM
-/// replaced under its old name cannot be hidden behind a link to its predecessor.
-/// Links are dialled at the first send and closed when idle. The secret keeps strangers out;
+/// The websocket links between one daemon and the others.
+/// A daemon sends on the links that it dialled and receives on those that others dialled, so there
+/// is one link per direction. Two daemons that dial each other at the same time have no conflict
+/// to resolve, and messages to a VM that was replaced under the same name do not continue on a
+/// link to its predecessor.
+/// Links are dialled at the first send and closed when idle. The secret authenticates peers;
 /// frames are neither encrypted nor signed, so the network between VMs has to be private.
 /// Thread safety: as PeerNetwork states.
 class PeerLinks final : public PeerNetwork
@@ -37,28 +38,28 @@
               PeerLinkLimits limits = PeerLinkLimits());
     ~PeerLinks() override;
 
-    /// Starts to listen; port 0 takes a free one. Returns the port.
-    /// Precondition: not listening. Error: BadRequest with the system's reason.
+    /// Starts listening and returns the port; port 0 selects a free one.
+    /// Precondition: not listening. Error: BadRequest with the system's error message.
     Result<quint16> listenOn(const QHostAddress &address, quint16 port);
 
-    /// Where @p vm is; a changed address drops the link to the old one.
+    /// Sets the address of @p vm. If it changes, the link to the old address is closed.
     void setAddress(const VmId &vm, const QHostAddress &address, quint16 port);
-    /// Drops @p vm and its link.
+    /// Removes @p vm and closes the link to it.
     void removeAddress(const VmId &vm);
 
     bool send(const VmId &vm, PeerMessageKind kind, const QCborMap &body) override;
     void subscribe(PeerMessageKind kind, Handler handler) override;
 
-    /// Called when a proven link ends without a goodbye, as it does when the peer's process
-    /// dies, and when a peer cannot be reached. One callback.
+    /// Called when an authenticated link ends without a close frame, for example because the peer's
+    /// process died, and when a dialled peer cannot be reached. One callback.
     void onLinkLost(LinkLostCallback callback);
 
-    /// Bytes of all links since the start.
+    /// Traffic of all links since the start.
     const PeerTraffic &traffic() const { return m_traffic; }
-    /// Links that are proven, both ways.
-    int provenLinks() const;
-    /// Incoming links that have not proved anything yet.
-    int unprovenIncomingLinks() const;
+    /// Number of authenticated links, outgoing and incoming.
+    int authenticatedLinks() const;
+    /// Number of incoming links that are not authenticated yet.
+    int unauthenticatedIncomingLinks() const;
 
 private:
     struct Peer {
@@ -66,30 +67,30 @@
         quint16 port = 0;
         std::unique_ptr<PeerLink> link;
         Milliseconds backoff{0};
-        MonotonicTime notBefore;
+        MonotonicTime nextDialAt;
     };
 
     void dial(const VmId &vm, Peer &peer);
     void accept();
-    void dropOldestUnproven();
-    void outgoingEnded(const VmId &vm, PeerLinkEnd end, const QString &detail);
-    void incomingEnded(PeerLink *link, PeerLinkEnd end, const QString &detail);
+    void dropOldestUnauthenticated();
+    void onOutgoingEnded(const VmId &vm, PeerLinkEndReason reason, const QString &detail);
+    void onIncomingEnded(PeerLink *link, PeerLinkEndReason reason, const QString &detail);
     void received(const VmId &from, const PeerFrame &frame);
     void discard(std::unique_ptr<PeerLink> link);
-    void closeIdle();
+    void closeIdleLinks();
 
     TimerService &m_timers;
     const PeerLinkLimits m_limits;
     PeerTraffic m_traffic;
-    PeerLink::Owner m_owner;
+    PeerLink::Context m_context;
     QTcpServer m_server;
     std::map<VmId, Peer> m_peers;
     std::vector<std::unique_ptr<PeerLink>> m_incoming;
     std::vector<std::unique_ptr<PeerLink>> m_discarded;
     QHash<int, Handler> m_handlers;
-    LinkLostCallback m_linkLost;
-    std::unique_ptr<TimerSubscription> m_sweep;
-    std::unique_ptr<TimerSubscription> m_clearing;
+    LinkLostCallback m_linkLostCallback;
+    std::unique_ptr<TimerSubscription> m_idleCheckTimer;
+    std::unique_ptr<TimerSubscription> m_discardTimer;
 };
 
 } // namespace cranberry
--- a/src/peer/PeerMessageKind.h
+++ b/src/peer/PeerMessageKind.h
@@ -1,9 +1,9 @@
-// Defines the kinds of messages between daemons.
 #pragma once
 
 namespace cranberry {
 
-/// The number is the wire value and is never given to another kind.
+/// The kinds of messages between daemons.
+/// Each number is a wire value and is never reused for another kind.
 enum class PeerMessageKind {
     Heartbeat = 1,
     ConfigurationPull = 2,
--- a/src/peer/PeerNetwork.h
+++ b/src/peer/PeerNetwork.h
@@ -1,4 +1,3 @@
-// Defines PeerNetwork, the interface by which aggregates talk to other daemons.
 #pragma once
 
 #include "base/Ids.h"
@@ -10,8 +9,9 @@
 
 namespace cranberry {
 
-/// Best-effort messages between daemons: a message may be lost, or come late or twice, and
-/// nothing that must hold may rest on one.
+/// The interface for messages to and from other daemons.
+/// Best-effort messages between daemons: a message may be lost, delayed or delivered twice, so
+/// correctness must not depend on its delivery.
 /// Thread safety: only from its own thread; handlers run in it.
 class PeerNetwork
 {
@@ -20,11 +20,11 @@
 
     virtual ~PeerNetwork() = default;
 
-    /// Sends to @p vm, connecting if need be. Returns false if @p vm is not known or its queue
-    /// is full; true promises nothing.
+    /// Sends to @p vm and connects first if necessary. Returns false if @p vm is unknown or its
+    /// queue is full. True does not guarantee delivery.
     virtual bool send(const VmId &vm, PeerMessageKind kind, const QCborMap &body) = 0;
 
-    /// Hands each message of @p kind to @p handler. Precondition: one handler a kind.
+    /// Passes each message of @p kind to @p handler. Precondition: one handler per kind.
     virtual void subscribe(PeerMessageKind kind, Handler handler) = 0;
 };
 
--- a/src/peer/PeerProof.cpp
+++ b/src/peer/PeerProof.cpp
@@ -15,28 +15,28 @@
 
 } // namespace
 
-QByteArray proofNonce()
+QByteArray makeProofNonce()
 {
     QByteArray nonce(ProofNonceSize, Qt::Uninitialized);
     QRandomGenerator::system()->generate(nonce.begin(), nonce.end());
     return nonce;
 }
 
-QByteArray peerProof(const QByteArray &secret, ProofDirection direction,
-                     const ProofSubject &subject)
+QByteArray computePeerProof(const QByteArray &secret, ProofDirection direction,
+                            const ProofSubject &subject)
 {
-    // CBOR marks where each part ends: two subjects never give the same bytes.
-    QCborArray proved;
-    proved.append(int(direction));
-    proved.append(subject.diallerNonce);
-    proved.append(subject.listenerNonce);
-    proved.append(subject.dialler.text());
-    proved.append(subject.listener.text());
-    return QMessageAuthenticationCode::hash(QCborValue(proved).toCbor(), secret,
+    // CBOR encodes the length of each part, so different subjects never have the same encoding.
+    QCborArray authenticatedData;
+    authenticatedData.append(int(direction));
+    authenticatedData.append(subject.diallerNonce);
+    authenticatedData.append(subject.listenerNonce);
+    authenticatedData.append(subject.dialler.text());
+    authenticatedData.append(subject.listener.text());
+    return QMessageAuthenticationCode::hash(QCborValue(authenticatedData).toCbor(), secret,
                                             QCryptographicHash::Sha256);
 }
 
-bool equalProofs(const QByteArray &a, const QByteArray &b)
+bool constantTimeEqual(const QByteArray &a, const QByteArray &b)
 {
     if (a.size() != b.size())
         return false;
--- a/src/peer/PeerProof.h
+++ b/src/peer/PeerProof.h
@@ -1,4 +1,3 @@
-// Defines the proof by which two daemons show each other that they know the fleet secret.
 #pragma once
 
 #include "base/Ids.h"
@@ -9,13 +8,14 @@
 
 namespace cranberry {
 
-/// Who shows the proof; part of what is proved, so that no proof can be sent back to its maker.
+/// The side that sends the proof. It is part of the authenticated data, so that a proof cannot be
+/// reflected to its sender.
 enum class ProofDirection {
     FromDialler = 1,
     FromListener = 2,
 };
 
-/// What both proofs of one link are made over.
+/// The data of one link that both proofs authenticate.
 struct ProofSubject {
     QByteArray diallerNonce;
     QByteArray listenerNonce;
@@ -26,7 +26,7 @@
 /// The dialler's answer to the listener's challenge.
 struct DiallerProof {
     VmId dialler;
-    /// Whom the dialler means to reach.
+    /// The VM that the dialler intends to reach.
     VmId listener;
     QByteArray nonce;
     QByteArray proof;
@@ -34,17 +34,19 @@
 
 constexpr int ProofNonceSize = 32;
 
-/// Fresh random bytes. Thread-safe.
-QByteArray proofNonce();
+/// New random bytes from the system's generator. Thread-safe.
+QByteArray makeProofNonce();
 
-/// HMAC-SHA256 over direction and subject. Thread-safe.
-QByteArray peerProof(const QByteArray &secret, ProofDirection direction,
-                     const ProofSubject &subject);
+/// The proof with which a daemon shows that it knows the fleet secret: HMAC-SHA256 over direction
+/// and subject. Thread-safe.
+QByteArray computePeerProof(const QByteArray &secret, ProofDirection direction,
+                            const ProofSubject &subject);
 
-/// Compares without telling by its duration where the two differ. Thread-safe.
-bool equalProofs(const QByteArray &a, const QByteArray &b);
+/// Compares in constant time, so that the duration does not reveal where the two differ.
+/// Thread-safe.
+bool constantTimeEqual(const QByteArray &a, const QByteArray &b);
 
-/// The CBOR form of @p proof. Thread-safe.
+/// The CBOR encoding of @p proof. Thread-safe.
 QByteArray encodeDiallerProof(const DiallerProof &proof);
 
 /// Empty if @p bytes are not a well-formed proof. Thread-safe.
--- a/src/peer/WebSocketSession.cpp
+++ b/src/peer/WebSocketSession.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One thread, small buffers, random masks, no logging of its own.
+/// Configuration of websocketpp: single-threaded, small buffers, random masks, no logging.
 struct SessionConfiguration : public websocketpp::config::core {
     using type = SessionConfiguration;
     using concurrency_type = websocketpp::concurrency::none;
@@ -23,7 +23,7 @@
     using elog_type = websocketpp::log::basic<concurrency_type, websocketpp::log::elevel>;
     using rng_type = websocketpp::random::random_device::int_generator<uint32_t, concurrency_type>;
 
-    // The library looks for this name.
+    // The name is required by websocketpp.
     // NOLINTNEXTLINE(readability-identifier-naming)
     struct transport_config {
         using concurrency_type = type::concurrency_type;
@@ -52,7 +52,7 @@
 using Client = websocketpp::client<SessionConfiguration>;
 using Connection = websocketpp::connection<SessionConfiguration>;
 
-/// The name in the Host header; links are told apart by the proof, not by this.
+/// Sets the Host header, which is not checked; peers are identified by their proof.
 constexpr const char *LinkUri = "ws://peer/";
 
 Server &serverEndpoint()
@@ -72,14 +72,14 @@
 class WebSocketSession::Implementation
 {
 public:
-    Implementation(WebSocketRole role, Bytes largestMessage, WebSocketCallbacks sessionCallbacks)
+    Implementation(WebSocketRole role, Bytes maxMessageSize, WebSocketCallbacks sessionCallbacks)
         : isDialler(role == WebSocketRole::Dialler)
         , callbacks(std::move(sessionCallbacks))
     {
         std::error_code error;
         connection = isDialler ? clientEndpoint().get_connection(LinkUri, error)
                                : serverEndpoint().get_connection();
-        connection->set_max_message_size(size_t(largestMessage.value()));
+        connection->set_max_message_size(size_t(maxMessageSize.value()));
         connection->set_write_handler(
             [this](const auto &, const char *data, size_t size) { return write(data, size); });
         connection->set_vector_write_handler(
@@ -92,12 +92,12 @@
         connection->set_open_handler([this](const auto &) { callbacks.opened(); });
         connection->set_message_handler([this](const auto &, const auto &message) {
             if (message->get_opcode() != websocketpp::frame::opcode::binary)
-                return end(QStringLiteral("not a binary frame"));
+                return end(QStringLiteral("received a non-binary frame"));
             callbacks.received(QByteArray::fromStdString(message->get_payload()));
         });
         connection->set_fail_handler(
             [this](const auto &) { end(QString::fromStdString(connection->get_ec().message())); });
-        connection->set_close_handler([this](const auto &) { end(closeFault()); });
+        connection->set_close_handler([this](const auto &) { end(closeError()); });
     }
 
     ~Implementation()
@@ -108,7 +108,7 @@
         connection->set_message_handler({});
         connection->set_fail_handler({});
         connection->set_close_handler({});
-        // The pending read of the library holds the connection: ending it frees both.
+        // A pending read of the library keeps the connection alive; fatal_error() releases both.
         connection->fatal_error();
     }
 
@@ -126,13 +126,13 @@
         callbacks.ended(fault);
     }
 
-    QString closeFault() const
+    QString closeError() const
     {
         namespace status = websocketpp::close::status;
         const auto code = connection->get_local_close_code();
-        const bool peerSaidGoodbye = code == status::normal || code == status::going_away
+        const bool isNormalClosure = code == status::normal || code == status::going_away
             || code == status::no_status || code == status::abnormal_close;
-        return peerSaidGoodbye ? QString() : QString::fromStdString(status::get_string(code));
+        return isNormalClosure ? QString() : QString::fromStdString(status::get_string(code));
     }
 
     const bool isDialler;
@@ -141,9 +141,9 @@
     Connection::ptr connection;
 };
 
-WebSocketSession::WebSocketSession(WebSocketRole role, Bytes largestMessage,
+WebSocketSession::WebSocketSession(WebSocketRole role, Bytes maxMessageSize,
                                    WebSocketCallbacks callbacks)
-    : m_implementation(std::make_unique<Implementation>(role, largestMessage, std::move(callbacks)))
+    : m_implementation(std::make_unique<Implementation>(role, maxMessageSize, std::move(callbacks)))
 {
 }
 
@@ -160,9 +160,9 @@
 void WebSocketSession::receive(const QByteArray &bytes)
 {
     const size_t size = size_t(bytes.size());
-    const size_t taken = m_implementation->connection->read_all(bytes.constData(), size);
-    if (taken < size)
-        m_implementation->end(QStringLiteral("bytes after the end of the protocol"));
+    const size_t consumed = m_implementation->connection->read_all(bytes.constData(), size);
+    if (consumed < size)
+        m_implementation->end(QStringLiteral("received bytes after the session ended"));
 }
 
 bool WebSocketSession::send(const QByteArray &message)
@@ -178,7 +178,7 @@
     m_implementation->connection->close(websocketpp::close::status::normal, {}, error);
 }
 
-void WebSocketSession::setLargestMessage(Bytes size)
+void WebSocketSession::setMaxMessageSize(Bytes size)
 {
     m_implementation->connection->set_max_message_size(size_t(size.value()));
 }
--- a/src/peer/WebSocketSession.h
+++ b/src/peer/WebSocketSession.h
@@ -1,4 +1,3 @@
-// Defines WebSocketSession, the websocket protocol of one connection without its socket.
 #pragma once
 
 #include "base/Units.h"
@@ -17,33 +16,36 @@
 };
 
 struct WebSocketCallbacks {
-    /// Bytes that are to be written to the socket.
+    /// Passes bytes to be written to the socket.
     std::function<void(const QByteArray &bytes)> output;
     std::function<void()> opened;
-    /// One binary message.
+    /// Passes one binary message.
     std::function<void(const QByteArray &message)> received;
-    /// The protocol is over: the peer said so (@p fault empty) or broke it. Nothing follows.
+    /// Called last, when the peer has closed the session (@p fault is empty) or violated the
+    /// protocol.
     std::function<void(const QString &fault)> ended;
 };
 
-/// websocketpp without I/O: bytes of any socket go in and out, so it runs on any event loop.
-/// Thread safety: only from one thread; callbacks run inside calls and must not destroy the
-/// session.
+/// The websocket protocol of one connection, independent of its socket.
+/// Wraps websocketpp without I/O: the caller transfers the bytes between session and socket, so it
+/// works with any event loop.
+/// Thread safety: only from one thread. Callbacks run inside member functions and must not destroy
+/// the session.
 class WebSocketSession
 {
 public:
-    WebSocketSession(WebSocketRole role, Bytes largestMessage, WebSocketCallbacks callbacks);
+    WebSocketSession(WebSocketRole role, Bytes maxMessageSize, WebSocketCallbacks callbacks);
     ~WebSocketSession();
 
     /// Starts the opening handshake. Precondition: called once.
     void start();
-    /// Takes bytes that came from the socket.
+    /// Processes bytes read from the socket.
     void receive(const QByteArray &bytes);
-    /// Sends one binary message. Precondition: opened was called. False if it could not.
+    /// Sends one binary message. Returns false on failure. Precondition: opened was called.
     bool send(const QByteArray &message);
-    /// Says goodbye; the socket can be closed once the output is written.
+    /// Sends a close frame; the socket can be closed once the output is written.
     void close();
-    void setLargestMessage(Bytes size);
+    void setMaxMessageSize(Bytes size);
 
 private:
     class Implementation;
--- a/test/correctness/PeerLinks.cpp
+++ b/test/correctness/PeerLinks.cpp
@@ -123,7 +123,7 @@
 BOOST_FIXTURE_TEST_CASE(QueueToAPeerThatCannotBeReachedIsBounded, Fixture)
 {
     PeerLinkLimits limits;
-    limits.sendQueue = Bytes(10'000);
+    limits.maxSendQueueBytes = Bytes(10'000);
     Daemon small(timers, QStringLiteral("c"), limits);
     // The event loop does not run meanwhile, so the connection stays in the making.
     small.knows(QStringLiteral("b"), *b);
@@ -136,14 +136,14 @@
 BOOST_FIXTURE_TEST_CASE(IdleLinkIsClosedWithoutAlarm, Fixture)
 {
     PeerLinkLimits limits;
-    limits.idle = Milliseconds(50);
+    limits.idleTimeout = Milliseconds(50);
     Daemon brief(timers, QStringLiteral("c"), limits);
     brief.knows(QStringLiteral("b"), *b);
     int lost = 0;
     b->links->onLinkLost([&](const VmId &) { ++lost; });
     brief.send(QStringLiteral("b"), 7);
-    BOOST_REQUIRE(test::waitFor([&] { return b->links->provenLinks() == 1; }));
-    BOOST_REQUIRE(test::waitFor([&] { return b->links->provenLinks() == 0; }));
+    BOOST_REQUIRE(test::waitFor([&] { return b->links->authenticatedLinks() == 1; }));
+    BOOST_REQUIRE(test::waitFor([&] { return b->links->authenticatedLinks() == 0; }));
     BOOST_TEST(lost == 0);
     BOOST_TEST(b->numbers.size() == 1);
 }
--- a/test/error/PeerFrames.cpp
+++ b/test/error/PeerFrames.cpp
@@ -30,9 +30,9 @@
     {
         test::ensureApplication();
         PeerLinkLimits limits;
-        limits.handshake = Milliseconds(300);
-        limits.frame = Bytes(64 * 1024);
-        limits.unprovenLinks = 4;
+        limits.handshakeTimeout = Milliseconds(300);
+        limits.maxFrameSize = Bytes(64 * 1024);
+        limits.maxUnauthenticatedLinks = 4;
         links = std::make_unique<PeerLinks>(timers, Self, Secret, limits);
         links->subscribe(PeerMessageKind::Heartbeat,
                          [this](const VmId &, const QCborMap &) { ++handled; });
@@ -100,9 +100,9 @@
 
 BOOST_FIXTURE_TEST_CASE(ListenersProofCannotBeSentBack, Fixture)
 {
-    const ProofSubject subject{proofNonce(), proofNonce(), Stranger, Self};
-    BOOST_TEST(!equalProofs(peerProof(Secret, ProofDirection::FromDialler, subject),
-                            peerProof(Secret, ProofDirection::FromListener, subject)));
+    const ProofSubject subject{makeProofNonce(), makeProofNonce(), Stranger, Self};
+    BOOST_TEST(!constantTimeEqual(computePeerProof(Secret, ProofDirection::FromDialler, subject),
+                                  computePeerProof(Secret, ProofDirection::FromListener, subject)));
 }
 
 BOOST_FIXTURE_TEST_CASE(ProofForAnotherVmIsRejected, Fixture)
@@ -176,7 +176,7 @@
     RawPeer peer(port);
     BOOST_REQUIRE(peer.waitForMessages(1));
     BOOST_TEST(peer.waitForClose());
-    BOOST_TEST(links->unprovenIncomingLinks() == 0);
+    BOOST_TEST(links->unauthenticatedIncomingLinks() == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(SilentStrangersDoNotKeepDaemonsOut, Fixture)
@@ -187,6 +187,6 @@
         silent.back()->connectToHost(QHostAddress::LocalHost, port);
     }
     const auto peer = proven();
-    BOOST_TEST(links->provenLinks() == 1);
-    BOOST_TEST(links->unprovenIncomingLinks() <= 4);
+    BOOST_TEST(links->authenticatedLinks() == 1);
+    BOOST_TEST(links->unauthenticatedIncomingLinks() <= 4);
 }
--- a/test/failure/PeerIsolation.cpp
+++ b/test/failure/PeerIsolation.cpp
@@ -25,7 +25,7 @@
     {
         test::ensureApplication();
         PeerLinkLimits limits;
-        limits.sendQueue = Bytes(512 * 1024);
+        limits.maxSendQueueBytes = Bytes(512 * 1024);
         hub = std::make_unique<PeerLinks>(timers, Hub, Secret, limits);
         good = std::make_unique<PeerLinks>(timers, Good, Secret);
         hubPort = hub->listenOn(QHostAddress::LocalHost, 0).value();
@@ -93,7 +93,7 @@
     const quint16 port = bad.listenOn(QHostAddress::LocalHost, 0).value();
     hub->setAddress(Bad, QHostAddress::LocalHost, port);
     BOOST_REQUIRE(hub->send(Bad, PeerMessageKind::Heartbeat, numbered(0)));
-    BOOST_REQUIRE(test::waitFor([&] { return bad.provenLinks() == 1; }));
+    BOOST_REQUIRE(test::waitFor([&] { return bad.authenticatedLinks() == 1; }));
     const QByteArray block(64 * 1024, 'x');
     qint64 taken = 0;
     // The event loop stands still, and with it the reader.
@@ -111,7 +111,7 @@
     bad.session.send("garbage");
     BOOST_REQUIRE(bad.waitForClose());
     checkGoodPeer();
-    BOOST_TEST(hub->provenLinks() == 2);
+    BOOST_TEST(hub->authenticatedLinks() == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(HalfAFrameIsNeverHandedOver, Fixture)
@@ -126,7 +126,7 @@
     bad.socket.flush();
     bad.socket.abort();
     checkGoodPeer();
-    BOOST_TEST(test::waitFor([&] { return hub->provenLinks() == 2; }));
+    BOOST_TEST(test::waitFor([&] { return hub->authenticatedLinks() == 2; }));
     BOOST_TEST(heard[Bad].size() == 1);
 }
 
--- a/test/support/RawPeer.h
+++ b/test/support/RawPeer.h
@@ -35,10 +35,10 @@
     /// Precondition: the challenge has arrived.
     QByteArray proof(const QByteArray &secret, const VmId &self, const VmId &listener) const
     {
-        const QByteArray nonce = proofNonce();
+        const QByteArray nonce = makeProofNonce();
         const ProofSubject subject{nonce, messages.first(), self, listener};
-        return encodeDiallerProof(
-            {self, listener, nonce, peerProof(secret, ProofDirection::FromDialler, subject)});
+        return encodeDiallerProof({self, listener, nonce,
+                                   computePeerProof(secret, ProofDirection::FromDialler, subject)});
     }
 
     /// Goes through the whole handshake. False if the listener does not answer.
