--- a/src/membership/MemberTable.cpp
+++ b/src/membership/MemberTable.cpp
@@ -198,9 +198,9 @@
 
 void expireMembers(MembershipState &state, MonotonicTime now, MembershipOutput &output)
 {
-    if (now < state.nextExpiry)
+    if (now < state.nextExpiryAt)
         return;
-    state.nextExpiry = now + ExpiryInterval;
+    state.nextExpiryAt = now + ExpiryInterval;
     for (auto inbound = state.inboundNeighbours.begin(); inbound != state.inboundNeighbours.end();)
         inbound =
             inbound.value() < now ? state.inboundNeighbours.erase(inbound) : std::next(inbound);
--- a/src/membership/MembershipRules.cpp
+++ b/src/membership/MembershipRules.cpp
@@ -134,9 +134,9 @@
 void contactDead(MembershipState &state, MonotonicTime now, quint64 random,
                  MembershipOutput &output)
 {
-    if (now < state.nextDeadContact)
+    if (now < state.nextDeadContactAt)
         return;
-    state.nextDeadContact = now + state.settings.deadContactInterval;
+    state.nextDeadContactAt = now + state.settings.deadContactInterval;
     QList<VmId> dead;
     for (const MemberRecord &record : std::as_const(state.others)) {
         if (record.member.state == MemberState::Dead)
--- a/src/membership/MembershipState.h
+++ b/src/membership/MembershipState.h
@@ -60,8 +60,8 @@
     QList<RelayedProbe> relayedProbes;
     MonotonicTime lastTick;
     MonotonicTime lastMessageAt;
-    MonotonicTime nextDeadContact;
-    MonotonicTime nextExpiry;
+    MonotonicTime nextDeadContactAt;
+    MonotonicTime nextExpiryAt;
     /// Bytes available for urgent heartbeats; negative once heartbeats have exceeded the rate.
     double urgentByteBudget = 0;
     /// Moving average of the size of a heartbeat with headers.
--- a/src/peer/PeerLink.cpp
+++ b/src/peer/PeerLink.cpp
@@ -29,7 +29,7 @@
                    PeerLinkCallbacks callbacks)
     : m_context(context)
     , m_socket(socket)
-    , m_dialled(!peer.isEmpty())
+    , m_isDialled(!peer.isEmpty())
     , m_peer(std::move(peer))
     , m_callbacks(std::move(callbacks))
     , m_ownNonce(makeProofNonce())
@@ -38,7 +38,7 @@
     WebSocketCallbacks session;
     session.output = [this](const QByteArray &bytes) { writeSocket(bytes); };
     session.opened = [this] {
-        if (!m_dialled)
+        if (!m_isDialled)
             m_session->send(m_ownNonce);
     };
     session.received = [this](const QByteArray &message) { onMessage(message); };
@@ -46,7 +46,7 @@
         end(fault.isEmpty() ? PeerLinkEndReason::Closed : PeerLinkEndReason::Invalid, fault);
     };
     m_session = std::make_unique<WebSocketSession>(
-        m_dialled ? WebSocketRole::Dialler : WebSocketRole::Listener,
+        m_isDialled ? WebSocketRole::Dialler : WebSocketRole::Listener,
         context.limits.maxHandshakeFrameSize, std::move(session));
     m_handshakeTimeout = context.timers.after(context.limits.handshakeTimeout, [this] {
         end(PeerLinkEndReason::Broken, QStringLiteral("handshake timed out"));
@@ -55,7 +55,7 @@
     QObject::connect(socket, &QTcpSocket::connected, socket, [this] { start(); });
     QObject::connect(socket, &QTcpSocket::errorOccurred, socket,
                      [this, socket] { end(PeerLinkEndReason::Broken, socket->errorString()); });
-    if (!m_dialled)
+    if (!m_isDialled)
         start();
 }
 
@@ -84,7 +84,7 @@
     ++m_context.traffic.chunksIn;
     if (!m_isAuthenticated) {
         m_handshakeBytes += bytes.size();
-        if (!m_dialled && m_handshakeBytes > m_context.limits.maxHandshakeBytes.value()) {
+        if (!m_isDialled && m_handshakeBytes > m_context.limits.maxHandshakeBytes.value()) {
             end(PeerLinkEndReason::Invalid, QStringLiteral("too many bytes before authentication"));
             return;
         }
@@ -114,7 +114,7 @@
         m_callbacks.received(*frame);
         return;
     }
-    if (!m_dialled)
+    if (!m_isDialled)
         onDiallerProof(message);
     else if (!m_hasChallenge)
         onChallenge(message);
@@ -124,7 +124,7 @@
 
 ProofSubject PeerLink::proofSubject() const
 {
-    if (m_dialled)
+    if (m_isDialled)
         return {m_ownNonce, m_peerNonce, m_context.self, m_peer};
     return {m_peerNonce, m_ownNonce, m_peer, m_context.self};
 }
--- a/src/peer/PeerLink.h
+++ b/src/peer/PeerLink.h
@@ -69,7 +69,7 @@
     void close();
 
     bool isAuthenticated() const { return m_isAuthenticated; }
-    bool isDialled() const { return m_dialled; }
+    bool isDialled() const { return m_isDialled; }
     /// The VM at the other end; empty before an incoming link is authenticated.
     const VmId &peer() const { return m_peer; }
     MonotonicTime lastSend() const { return m_lastSend; }
@@ -88,7 +88,7 @@
 
     const Context &m_context;
     QPointer<QTcpSocket> m_socket;
-    const bool m_dialled;
+    const bool m_isDialled;
     VmId m_peer;
     PeerLinkCallbacks m_callbacks;
     std::unique_ptr<WebSocketSession> m_session;
--- a/src/peer/PeerLinks.cpp
+++ b/src/peer/PeerLinks.cpp
@@ -122,7 +122,7 @@
     callbacks.authenticated = [this, vm] { m_peers[vm].backoff = Milliseconds(0); };
     // Peers send on the links that they dialled. A frame on a link that this side dialled is
     // accepted nevertheless, since its peer is authenticated.
-    callbacks.received = [this, vm](const PeerFrame &frame) { received(vm, frame); };
+    callbacks.received = [this, vm](const PeerFrame &frame) { dispatch(vm, frame); };
     callbacks.ended = [this, vm](PeerLinkEndReason reason, const QString &detail) {
         onOutgoingEnded(vm, reason, detail);
     };
@@ -141,7 +141,7 @@
         PeerLinkCallbacks callbacks;
         callbacks.authenticated = [] {};
         callbacks.received = [this, handle](const PeerFrame &frame) {
-            received((*handle)->peer(), frame);
+            dispatch((*handle)->peer(), frame);
         };
         callbacks.ended = [this, handle](PeerLinkEndReason reason, const QString &detail) {
             onIncomingEnded(*handle, reason, detail);
@@ -193,7 +193,7 @@
         m_linkLostCallback(peer);
 }
 
-void PeerLinks::received(const VmId &from, const PeerFrame &frame)
+void PeerLinks::dispatch(const VmId &from, const PeerFrame &frame)
 {
     const auto handler = m_handlers.constFind(int(frame.kind));
     if (handler != m_handlers.cend())
--- a/src/peer/PeerLinks.h
+++ b/src/peer/PeerLinks.h
@@ -75,7 +75,7 @@
     void dropOldestUnauthenticated();
     void onOutgoingEnded(const VmId &vm, PeerLinkEndReason reason, const QString &detail);
     void onIncomingEnded(PeerLink *link, PeerLinkEndReason reason, const QString &detail);
-    void received(const VmId &from, const PeerFrame &frame);
+    void dispatch(const VmId &from, const PeerFrame &frame);
     void discard(std::unique_ptr<PeerLink> link);
     void closeIdleLinks();
 
