--- a/src/claims/GatherWindow.cpp
+++ b/src/claims/BatchWindow.cpp
@@ -1,4 +1,4 @@
-#include "claims/GatherWindow.h"
+#include "claims/BatchWindow.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/claims/ClaimGathering.cpp
+++ b/src/claims/ClaimForwarder.cpp
@@ -1,4 +1,4 @@
-#include "claims/ClaimGathering.h"
+#include "claims/ClaimForwarder.h"
 
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
--- a/src/claims/ClaimShard.h
+++ b/src/claims/ClaimShard.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include "claims/BatchWindow.h"
 #include "claims/ClaimCounts.h"
 #include "claims/ClaimOperation.h"
 #include "claims/ClaimSettings.h"
-#include "claims/GatherWindow.h"
 #include "claims/SegmentUpdate.h"
 #include "configuration/LifeGuard.h"
 #include "platformstore/KeyValueStore.h"
--- a/src/claims/ClaimStore.cpp
+++ b/src/claims/ClaimStore.cpp
@@ -3,7 +3,7 @@
 #include "base/EventLog.h"
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
-#include "claims/ClaimGathering.h"
+#include "claims/ClaimForwarder.h"
 #include "claims/ClaimShard.h"
 #include "membership/MemberView.h"
 
--- a/src/membership/HeartbeatMessage.h
+++ b/src/membership/HeartbeatMessage.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "membership/Broadcast.h"
 #include "membership/MemberView.h"
-#include "membership/NewsItem.h"
 
 #include <QCborMap>
 #include <QList>
--- a/src/membership/MembershipOutput.h
+++ b/src/membership/MembershipOutput.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "membership/Broadcast.h"
 #include "membership/HeartbeatMessage.h"
 #include "membership/MemberView.h"
-#include "membership/NewsItem.h"
 #include "membership/ProbeAnswerMessage.h"
 #include "membership/ProbeMessage.h"
 
--- a/test/correctness/ClaimSegments.cpp
+++ b/test/correctness/ClaimSegments.cpp
@@ -2,9 +2,9 @@
 #define BOOST_TEST_MODULE ClaimSegments
 #include <boost/test/unit_test.hpp>
 
+#include "claims/BatchWindow.h"
 #include "claims/ClaimKeyAge.h"
 #include "claims/ClaimMessages.h"
-#include "claims/GatherWindow.h"
 #include "claims/SegmentUpdate.h"
 
 using namespace cranberry;
