--- a/src/membership/HeartbeatMessage.h
+++ b/src/membership/HeartbeatMessage.h
@@ -1,8 +1,7 @@
-// Defines HeartbeatMessage, what a daemon tells its neighbours at a steady pace.
 #pragma once
 
+#include "membership/Broadcast.h"
 #include "membership/MemberView.h"
-#include "membership/NewsItem.h"
 
 #include <QCborMap>
 #include <QList>
@@ -11,15 +10,16 @@
 
 namespace cranberry {
 
+/// Sent by a daemon to its neighbours periodically.
 struct HeartbeatMessage {
     Incarnation incarnation;
     ConfigurationVersion configurationVersion;
-    /// The sender will send its next heartbeat on this link within so long.
-    Milliseconds next{0};
+    /// The sender sends its next heartbeat to the same receiver within this time.
+    Milliseconds nextInterval{0};
     bool leaving = false;
     QList<Member> members;
-    QList<NewsItem> news;
-    /// Of placement; opaque here.
+    QList<Broadcast> broadcasts;
+    /// Set and read by placement; opaque to membership.
     QCborMap credits;
 };
 
