--- a/src/relay/RelayRun.h
+++ b/src/relay/RelayRun.h
@@ -104,7 +104,7 @@
 
     bool isStream() const { return m_task.route.kind == RequestKind::Stream; }
     bool hasBegun() const { return m_lastEvent > 0; }
-    /// Shorter one of the timeouts of the caller and the route, from the arrival.
+    /// The shorter of the timeouts of the caller and the route, from the arrival.
     Milliseconds timeout() const;
     Milliseconds timeLeft() const;
     Tokens expectedTokens() const;
