--- a/src/orders/IssuerLease.cpp
+++ b/src/orders/IssuerLease.cpp
@@ -13,7 +13,7 @@
     return QStringLiteral("orders/%1/issuer").arg(service.text());
 }
 
-QByteArray holderText(LeaseId lease)
+QByteArray holderValue(LeaseId lease)
 {
     return QByteArray::number(lease.value());
 }
@@ -39,99 +39,104 @@
 std::optional<FencingNumber> IssuerLease::fencingNumber() const
 {
     const MonotonicTime now = m_timers.now();
-    const bool issues =
-        m_holding && now >= m_holding->issuesFrom && mayIssue(m_times, m_holding->askedAt, now);
-    if (!issues)
+    const bool mayIssueNow = m_heldLease && now >= m_heldLease->mayIssueFrom
+        && mayIssue(m_times, m_heldLease->requestedAt, now);
+    if (!mayIssueNow)
         return std::nullopt;
-    return m_holding->number;
+    return m_heldLease->number;
 }
 
-void IssuerLease::again(Milliseconds delay, void (IssuerLease::*action)())
+void IssuerLease::scheduleNext(Milliseconds delay, void (IssuerLease::*action)())
 {
-    m_next = m_timers.after(delay, [this, action] { (this->*action)(); });
+    m_nextAction = m_timers.after(delay, [this, action] { (this->*action)(); });
 }
 
 void IssuerLease::acquire()
 {
-    const MonotonicTime askedAt = m_timers.now();
-    m_platform.grantLease(m_times.lease, m_life.wrap([this, askedAt](const Result<LeaseId> &lease) {
-        if (lease)
-            create(lease.value(), askedAt);
-        else
-            again(m_times.lease, &IssuerLease::acquire);
-    }));
+    const MonotonicTime requestedAt = m_timers.now();
+    m_platform.grantLease(m_times.lease,
+                          m_life.wrap([this, requestedAt](const Result<LeaseId> &lease) {
+                              if (lease)
+                                  createKey(lease.value(), requestedAt);
+                              else
+                                  scheduleNext(m_times.lease, &IssuerLease::acquire);
+                          }));
 }
 
-void IssuerLease::create(LeaseId lease, MonotonicTime askedAt)
+void IssuerLease::createKey(LeaseId lease, MonotonicTime requestedAt)
 {
-    m_platform.compareAndSwap(issuerKey(m_service), Revision(0), holderText(lease), lease,
-                              m_life.wrap([this, lease, askedAt](const SwapResult &result) {
-                                  created(lease, askedAt, result);
+    m_platform.compareAndSwap(issuerKey(m_service), Revision(0), holderValue(lease), lease,
+                              m_life.wrap([this, lease, requestedAt](const SwapResult &result) {
+                                  handleCreateResult(lease, requestedAt, result);
                               }));
 }
 
-void IssuerLease::created(LeaseId lease, MonotonicTime askedAt, const SwapResult &result)
+void IssuerLease::handleCreateResult(LeaseId lease, MonotonicTime requestedAt,
+                                     const SwapResult &result)
 {
     if (result.outcome == SwapOutcome::Swapped)
-        hold(lease, askedAt, result.revision);
+        becomeIssuer(lease, requestedAt, result.revision);
     else if (result.outcome == SwapOutcome::Unknown)
-        settle(lease, askedAt);
+        resolveUnknownSwap(lease, requestedAt);
     else
-        again(m_times.lease, &IssuerLease::acquire);
+        scheduleNext(m_times.lease, &IssuerLease::acquire);
 }
 
-// Failure: the key was created and the answer lost; nobody would issue until the lease lapses.
-// The key holds the lease that it hangs on. One from an earlier try of this daemon names another
-// lease, which nobody renews, and is not taken over.
-void IssuerLease::settle(LeaseId lease, MonotonicTime askedAt)
+// The key may have been created although the answer was lost; without this check no daemon would
+// issue orders until the lease expires. The key's value names the lease that it is attached to. A
+// key from an earlier attempt of this daemon names another lease, which is not renewed, and is not
+// taken over.
+void IssuerLease::resolveUnknownSwap(LeaseId lease, MonotonicTime requestedAt)
 {
     m_platform.read(issuerKey(m_service),
-                    m_life.wrap([this, lease, askedAt](const Result<KeyValue> &entry) {
-                        if (entry && entry.value().value == holderText(lease))
-                            hold(lease, askedAt, entry.value().revision);
+                    m_life.wrap([this, lease, requestedAt](const Result<KeyValue> &entry) {
+                        if (entry && entry.value().value == holderValue(lease))
+                            becomeIssuer(lease, requestedAt, entry.value().revision);
                         else
-                            again(m_times.lease, &IssuerLease::acquire);
+                            scheduleNext(m_times.lease, &IssuerLease::acquire);
                     }));
 }
 
-void IssuerLease::hold(LeaseId lease, MonotonicTime askedAt, Revision revision)
+void IssuerLease::becomeIssuer(LeaseId lease, MonotonicTime requestedAt, Revision revision)
 {
     const FencingNumber number(revision.value());
-    m_holding = {lease, number, askedAt, m_timers.now() + successorWait(m_times)};
+    m_heldLease = {lease, number, requestedAt, m_timers.now() + takeoverDelay(m_times)};
     logEvent(LogLevel::Info, EventId::IssuerGained,
              {{"service", m_service.text()}, {"fencing_number", QString::number(number.value())}});
-    again(renewalInterval(m_times), &IssuerLease::renew);
+    scheduleNext(renewalInterval(m_times), &IssuerLease::renew);
 }
 
 void IssuerLease::renew()
 {
-    const MonotonicTime askedAt = m_timers.now();
-    m_platform.renewLease(
-        m_holding->lease,
-        m_life.wrap([this, askedAt](const Result<LeaseId> &result) { renewed(askedAt, result); }));
+    const MonotonicTime requestedAt = m_timers.now();
+    m_platform.renewLease(m_heldLease->lease,
+                          m_life.wrap([this, requestedAt](const Result<LeaseId> &result) {
+                              handleRenewResult(requestedAt, result);
+                          }));
 }
 
-void IssuerLease::renewed(MonotonicTime askedAt, const Result<LeaseId> &result)
+void IssuerLease::handleRenewResult(MonotonicTime requestedAt, const Result<LeaseId> &result)
 {
     if (result) {
-        m_holding->askedAt = askedAt;
-        again(renewalInterval(m_times), &IssuerLease::renew);
+        m_heldLease->requestedAt = requestedAt;
+        scheduleNext(renewalInterval(m_times), &IssuerLease::renew);
         return;
     }
-    // Without an answer the lease may live on; it is issued under only while it certainly does.
+    // Without an answer the lease may still be valid. Orders are issued only while it is certain to
+    // be.
     const bool hasLapsed = result.error().kind == ErrorKind::OutcomeUnknown;
-    if (!hasLapsed && mayIssue(m_times, m_holding->askedAt, m_timers.now()))
-        again(renewalInterval(m_times), &IssuerLease::renew);
+    if (!hasLapsed && mayIssue(m_times, m_heldLease->requestedAt, m_timers.now()))
+        scheduleNext(renewalInterval(m_times), &IssuerLease::renew);
     else
-        lose();
+        handleLeaseLost();
 }
 
-void IssuerLease::lose()
+void IssuerLease::handleLeaseLost()
 {
     logEvent(LogLevel::Warning, EventId::IssuerLost,
              {{"service", m_service.text()},
-              {"fencing_number", QString::number(m_holding->number.value())}});
-    m_holding.reset();
+              {"fencing_number", QString::number(m_heldLease->number.value())}});
+    m_heldLease.reset();
     acquire();
 }
 
--- a/src/orders/IssuerLease.h
+++ b/src/orders/IssuerLease.h
@@ -1,4 +1,3 @@
-// Defines IssuerLease, by which one daemon at a time issues the orders of a service.
 #pragma once
 
 #include "base/Ids.h"
@@ -15,10 +14,11 @@
 class TimerService;
 class TimerSubscription;
 
-/// Holds a key in the platform's service that lives as long as a lease. Its revision is the
-/// fencing number: revisions only grow, and each holder creates the key anew.
-/// A daemon that does not hold it tries again once a lease, so only the few daemons that
-/// rendezvous hashing names for a service should run one.
+/// Elects the one daemon that issues the orders of a service. Holds a key in the platform's
+/// key-value service that exists as long as a lease. The key's revision is the fencing number:
+/// revisions only increase, and each holder creates the key anew.
+/// A daemon that does not hold the key retries once per lease duration, so only the few daemons
+/// that rendezvous hashing selects for a service should run an instance.
 /// Thread safety: only from the thread of the event loop.
 class IssuerLease
 {
@@ -30,38 +30,38 @@
     IssuerLease(const IssuerLease &) = delete;
     IssuerLease &operator=(const IssuerLease &) = delete;
 
-    /// Tries to become the issuer and to stay it. Precondition: called once.
+    /// Starts to acquire the lease and keeps it renewed. Precondition: called once.
     void start();
 
-    /// The number for an order that is sent now; empty if this daemon must not send any. To be
-    /// asked right before each send.
+    /// The fencing number for an order that is sent now; empty if this daemon must not send one.
+    /// Must be called immediately before each send.
     std::optional<FencingNumber> fencingNumber() const;
 
 private:
-    struct Holding {
+    struct HeldLease {
         LeaseId lease;
         FencingNumber number;
-        /// Before the request for the lease, or for its last renewal, left.
-        MonotonicTime askedAt;
-        MonotonicTime issuesFrom;
+        /// Read before the request for the lease, or for its last renewal, was sent.
+        MonotonicTime requestedAt;
+        MonotonicTime mayIssueFrom;
     };
 
     void acquire();
-    void create(LeaseId lease, MonotonicTime askedAt);
-    void created(LeaseId lease, MonotonicTime askedAt, const SwapResult &result);
-    void settle(LeaseId lease, MonotonicTime askedAt);
-    void hold(LeaseId lease, MonotonicTime askedAt, Revision revision);
+    void createKey(LeaseId lease, MonotonicTime requestedAt);
+    void handleCreateResult(LeaseId lease, MonotonicTime requestedAt, const SwapResult &result);
+    void resolveUnknownSwap(LeaseId lease, MonotonicTime requestedAt);
+    void becomeIssuer(LeaseId lease, MonotonicTime requestedAt, Revision revision);
     void renew();
-    void renewed(MonotonicTime askedAt, const Result<LeaseId> &result);
-    void lose();
-    void again(Milliseconds delay, void (IssuerLease::*action)());
+    void handleRenewResult(MonotonicTime requestedAt, const Result<LeaseId> &result);
+    void handleLeaseLost();
+    void scheduleNext(Milliseconds delay, void (IssuerLease::*action)());
 
     KeyValueStore &m_platform;
     TimerService &m_timers;
     const ServiceId m_service;
     const LeaseTimes m_times;
-    std::optional<Holding> m_holding;
-    std::unique_ptr<TimerSubscription> m_next;
+    std::optional<HeldLease> m_heldLease;
+    std::unique_ptr<TimerSubscription> m_nextAction;
     internal::LifeGuard m_life;
 };
 
--- a/src/orders/LeaseTiming.cpp
+++ b/src/orders/LeaseTiming.cpp
@@ -4,15 +4,15 @@
 
 namespace cranberry {
 
-bool mayIssue(const LeaseTimes &times, MonotonicTime askedAt, MonotonicTime now)
+bool mayIssue(const LeaseTimes &times, MonotonicTime requestedAt, MonotonicTime now)
 {
-    return now < askedAt + times.lease - times.stopEarly;
+    return now < requestedAt + times.lease - times.expiryMargin;
 }
 
-Milliseconds successorWait(const LeaseTimes &times)
+Milliseconds takeoverDelay(const LeaseTimes &times)
 {
     const auto drift = Milliseconds(std::llround(double(times.lease.count()) * times.driftMargin));
-    return drift + times.longestFlight;
+    return drift + times.maxOrderDelay;
 }
 
 Milliseconds renewalInterval(const LeaseTimes &times)
--- a/test/correctness/IssuerLease.cpp
+++ b/test/correctness/IssuerLease.cpp
@@ -48,7 +48,7 @@
 BOOST_FIXTURE_TEST_CASE(NewHolderWaitsBeforeItIssues, Fixture)
 {
     settle();
-    timers.advance(successorWait(times) - 1ms);
+    timers.advance(takeoverDelay(times) - 1ms);
     BOOST_CHECK(!issuer.fencingNumber());
     timers.advance(1ms);
     BOOST_REQUIRE(issuer.fencingNumber());
@@ -58,10 +58,10 @@
 BOOST_FIXTURE_TEST_CASE(HolderThatWakesFromAPauseDoesNotIssueOnTheOldLease, Fixture)
 {
     settle();
-    timers.advance(successorWait(times));
+    timers.advance(takeoverDelay(times));
     BOOST_REQUIRE(issuer.fencingNumber());
     // While it is paused no answer to a renewal reaches it.
-    timers.advance(times.lease - times.stopEarly - successorWait(times));
+    timers.advance(times.lease - times.expiryMargin - takeoverDelay(times));
     BOOST_CHECK(!issuer.fencingNumber());
 }
 
@@ -69,6 +69,6 @@
 {
     store.loseAnswers = 1;
     settle();
-    timers.advance(successorWait(times));
+    timers.advance(takeoverDelay(times));
     BOOST_CHECK(issuer.fencingNumber());
 }
--- a/test/correctness/LeaseTiming.cpp
+++ b/test/correctness/LeaseTiming.cpp
@@ -20,13 +20,13 @@
     while (mayIssue(times, asked, asked + own + 1ms))
         own += 1ms;
     const Milliseconds real(std::llround(std::floor(double(own.count()) / (1 - drift))));
-    return real + pause + times.longestFlight;
+    return real + pause + times.maxOrderDelay;
 }
 
 /// How long after the grant before it a successor may issue, at the earliest.
 Milliseconds firstSendOfSuccessor(const LeaseTimes &times)
 {
-    return times.lease + successorWait(times);
+    return times.lease + takeoverDelay(times);
 }
 
 } // namespace
@@ -35,7 +35,7 @@
 {
     const LeaseTimes times;
     const MonotonicTime asked{1h};
-    const MonotonicTime end = asked + times.lease - times.stopEarly;
+    const MonotonicTime end = asked + times.lease - times.expiryMargin;
     BOOST_CHECK(mayIssue(times, asked, end - 1ms));
     BOOST_CHECK(!mayIssue(times, asked, end));
 }
@@ -54,7 +54,7 @@
     LeaseTimes times;
     times.driftMargin = 0;
     constexpr double Drift = 0.01;
-    BOOST_CHECK(lastArrival(times, Drift, times.stopEarly) > firstSendOfSuccessor(times));
+    BOOST_CHECK(lastArrival(times, Drift, times.expiryMargin) > firstSendOfSuccessor(times));
     // The early stop alone covers a slow clock, and the margin is for when a pause used it up.
     BOOST_CHECK(lastArrival(times, Drift, 0ms) < firstSendOfSuccessor(times));
 }
--- a/test/failure/PausedIssuer.cpp
+++ b/test/failure/PausedIssuer.cpp
@@ -24,8 +24,8 @@
 {
     LeaseTimes times;
     times.lease = Milliseconds(600);
-    times.stopEarly = Milliseconds(200);
-    times.longestFlight = Milliseconds(50);
+    times.expiryMargin = Milliseconds(200);
+    times.maxOrderDelay = Milliseconds(50);
     return times;
 }
 
