--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -169,7 +169,7 @@
     });
     m_parts->members.onDelta(PeerMessageKind::Quarantine,
                              [this](const VmId &, const QCborMap &news) {
-                                 m_parts->quarantine.takeNews(news, m_parts->timers.now());
+                                 m_parts->quarantine.handleNews(news, m_parts->timers.now());
                              });
     const auto tellLeaving = [this](const TargetId &target, Incarnation incarnation) {
         m_parts->members.addDelta(PeerMessageKind::TargetLeaving,
--- a/src/daemon/Dispatcher.cpp
+++ b/src/daemon/Dispatcher.cpp
@@ -67,7 +67,7 @@
 {
     wait->timer.reset();
     const MonotonicTime now = m_surroundings.timers.now();
-    switch (m_surroundings.quarantine.mayRun(wait->fingerprint, now)) {
+    switch (m_surroundings.quarantine.verdict(wait->fingerprint, now)) {
     case QuarantineVerdict::Quarantined:
         refuse(wait,
                {ErrorKind::Quarantined,
@@ -121,7 +121,7 @@
         return;
     }
     const QuarantineVerdict verdict =
-        m_surroundings.quarantine.mayRun(wait->fingerprint, m_surroundings.timers.now());
+        m_surroundings.quarantine.verdict(wait->fingerprint, m_surroundings.timers.now());
     const bool onProbation = m_surroundings.quarantine.isOnProbation(target.value());
     if (onProbation || verdict != QuarantineVerdict::Free) {
         // While this one waited, a suspect went to that target, or it became a suspect itself.
--- a/src/quarantine/ProbationCandidate.h
+++ b/src/quarantine/ProbationCandidate.h
@@ -1,14 +1,14 @@
-// Defines ProbationCandidate, a target that a suspect request might be sent to.
 #pragma once
 
 #include "base/Ids.h"
 
 namespace cranberry {
 
+/// A target to which a suspect request may be sent.
 struct ProbationCandidate {
     TargetId target;
-    /// What a crash would destroy: requests or tokens, by whichever the caller knows.
-    qint64 atStake = 0;
+    /// The work that a crash would destroy, in requests or in tokens, depending on the caller.
+    qint64 crashCost = 0;
 };
 
 } // namespace cranberry
--- a/src/quarantine/ProbationDecision.h
+++ b/src/quarantine/ProbationDecision.h
@@ -1,4 +1,3 @@
-// Defines ProbationDecision, what a suspect that wants a target gets.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,13 +6,14 @@
 
 namespace cranberry {
 
+/// The result of a suspect's request for a target.
 struct ProbationDecision {
-    /// Where it may run now; empty: it has to wait and ask again.
+    /// The target on which the suspect may start now; empty if it must wait and ask again.
     std::optional<TargetId> start;
-    /// A target that was reserved for it now; other daemons should hear of it.
+    /// A target that this call reserved; to be announced to other daemons.
     std::optional<TargetId> reserved;
-    /// A reservation that it lost; other daemons should hear of it.
-    std::optional<TargetId> givenUp;
+    /// A reservation that this call cancelled; to be announced to other daemons.
+    std::optional<TargetId> abandoned;
 };
 
 } // namespace cranberry
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -24,19 +24,19 @@
     }
 }
 
-QCborMap releaseNews(const RequestFingerprint &fingerprint)
+QCborMap makeReleaseNews(const RequestFingerprint &fingerprint)
 {
     return quarantineNewsToCbor(
         {QuarantineNewsKind::Released, {fingerprint}, WorkspaceId(), Milliseconds(0), {}});
 }
 
-QCborMap probationNews(QuarantineNewsKind kind, const RequestFingerprint &fingerprint,
-                       const TargetId &target, Milliseconds left)
+QCborMap makeProbationNews(QuarantineNewsKind kind, const RequestFingerprint &fingerprint,
+                           const TargetId &target, Milliseconds remaining)
 {
-    return quarantineNewsToCbor({kind, {fingerprint}, WorkspaceId(), left, target});
+    return quarantineNewsToCbor({kind, {fingerprint}, WorkspaceId(), remaining, target});
 }
 
-QList<QCborMap> newsOf(const QList<QuarantineOutcome> &outcomes, Milliseconds quarantine)
+QList<QCborMap> makeNews(const QList<QuarantineOutcome> &outcomes, Milliseconds quarantine)
 {
     QList<QCborMap> news;
     QMap<WorkspaceId, QList<RequestFingerprint>> suspects;
@@ -51,9 +51,9 @@
             suspects[outcome.workspace].append(outcome.fingerprint);
     }
     for (auto entry = suspects.cbegin(); entry != suspects.cend(); ++entry) {
-        for (qsizetype first = 0; first < entry->size(); first += MostFingerprintsOfNews)
+        for (qsizetype first = 0; first < entry->size(); first += MaxFingerprintsPerNews)
             news.append(quarantineNewsToCbor({QuarantineNewsKind::Suspects,
-                                              entry->mid(first, MostFingerprintsOfNews),
+                                              entry->mid(first, MaxFingerprintsPerNews),
                                               entry.key(),
                                               Milliseconds(0),
                                               {}}));
@@ -73,11 +73,11 @@
     m_newsCallback = std::move(callback);
 }
 
-QuarantineVerdict Quarantine::mayRun(const RequestFingerprint &fingerprint, MonotonicTime now)
+QuarantineVerdict Quarantine::verdict(const RequestFingerprint &fingerprint, MonotonicTime now)
 {
     const QMutexLocker lock(&m_mutex);
     m_now = now;
-    // Nearly all requests are not in the tables, and nearly always these are empty.
+    // Fast path: most requests are in none of the tables, and the tables are usually empty.
     if (verdictOf(m_state, fingerprint) == QuarantineVerdict::Free
         && m_state.remoteProbations.isEmpty())
         return QuarantineVerdict::Free;
@@ -89,20 +89,20 @@
                                                     const QList<ProbationCandidate> &candidates)
 {
     ProbationDecision decision;
-    Milliseconds life{0};
+    Milliseconds reservationTimeout{0};
     {
         const QMutexLocker lock(&m_mutex);
         if (!m_newsCallback)
             return cranberry::probationTarget(m_state, fingerprint, candidates);
         decision = decideProbation(m_state, fingerprint, candidates, m_now);
-        life = m_state.settings.reservationLife;
+        reservationTimeout = m_state.settings.reservationTimeout;
     }
-    if (decision.givenUp)
-        tell({probationNews(QuarantineNewsKind::ProbationEnded, fingerprint, *decision.givenUp,
-                            Milliseconds(0))});
+    if (decision.abandoned)
+        publish({makeProbationNews(QuarantineNewsKind::ProbationEnded, fingerprint,
+                                   *decision.abandoned, Milliseconds(0))});
     if (decision.reserved)
-        tell({probationNews(QuarantineNewsKind::ProbationReserved, fingerprint, *decision.reserved,
-                            life)});
+        publish({makeProbationNews(QuarantineNewsKind::ProbationReserved, fingerprint,
+                                   *decision.reserved, reservationTimeout)});
     return decision.start;
 }
 
@@ -118,25 +118,26 @@
     Milliseconds lease{0};
     {
         const QMutexLocker lock(&m_mutex);
-        noteAttemptStarted(m_state, fingerprint, workspace, target, now);
+        recordAttemptStarted(m_state, fingerprint, workspace, target, now);
         if (verdictOf(m_state, fingerprint) != QuarantineVerdict::Suspect)
             return;
         lease = m_state.settings.probationLease;
     }
-    tell({probationNews(QuarantineNewsKind::ProbationStarted, fingerprint, target, lease)});
+    publish({makeProbationNews(QuarantineNewsKind::ProbationStarted, fingerprint, target, lease)});
 }
 
 void Quarantine::attemptFinished(const RequestFingerprint &fingerprint, const TargetId &target,
-                                 bool ran)
+                                 bool completed)
 {
     {
         const QMutexLocker lock(&m_mutex);
         const bool onProbation = verdictOf(m_state, fingerprint) == QuarantineVerdict::Suspect;
-        noteAttemptFinished(m_state, fingerprint, target, ran);
+        recordAttemptFinished(m_state, fingerprint, target, completed);
         if (!onProbation)
             return;
     }
-    tell({probationNews(QuarantineNewsKind::ProbationEnded, fingerprint, target, Milliseconds(0))});
+    publish({makeProbationNews(QuarantineNewsKind::ProbationEnded, fingerprint, target,
+                               Milliseconds(0))});
 }
 
 QList<QuarantineOutcome> Quarantine::targetDied(const TargetId &target, TargetDeathCause cause,
@@ -147,11 +148,11 @@
     {
         const QMutexLocker lock(&m_mutex);
         expire(now);
-        quarantine = m_state.settings.quarantine;
-        outcomes = noteTargetDied(m_state, target, cause, now);
+        quarantine = m_state.settings.quarantineDuration;
+        outcomes = recordTargetDeath(m_state, target, cause, now);
     }
     logOutcomes(outcomes);
-    tell(newsOf(outcomes, quarantine));
+    publish(makeNews(outcomes, quarantine));
     return outcomes;
 }
 
@@ -163,11 +164,11 @@
             return false;
     }
     logRequest(EventId::QuarantineReleased, fingerprint, WorkspaceId());
-    tell({releaseNews(fingerprint)});
+    publish({makeReleaseNews(fingerprint)});
     return true;
 }
 
-void Quarantine::takeNews(const QCborMap &body, MonotonicTime now)
+void Quarantine::handleNews(const QCborMap &body, MonotonicTime now)
 {
     const std::optional<QuarantineNews> news = quarantineNewsFromCbor(body);
     if (!news)
@@ -175,17 +176,19 @@
     const QMutexLocker lock(&m_mutex);
     for (const RequestFingerprint &fingerprint : news->fingerprints) {
         if (news->kind == QuarantineNewsKind::Quarantined)
-            noteQuarantined(m_state, {fingerprint, news->workspace, now + news->left});
+            recordQuarantined(m_state, {fingerprint, news->workspace, now + news->remaining});
         else if (news->kind == QuarantineNewsKind::Released)
             releaseRequest(m_state, fingerprint);
         else if (news->kind == QuarantineNewsKind::ProbationStarted)
-            noteRemoteProbation(m_state, fingerprint, news->target, {now + news->left, true});
+            recordRemoteProbation(m_state, fingerprint, news->target,
+                                  {now + news->remaining, true});
         else if (news->kind == QuarantineNewsKind::ProbationReserved)
-            noteRemoteProbation(m_state, fingerprint, news->target, {now + news->left, false});
+            recordRemoteProbation(m_state, fingerprint, news->target,
+                                  {now + news->remaining, false});
         else if (news->kind == QuarantineNewsKind::ProbationEnded)
             endRemoteProbation(m_state, fingerprint, news->target);
         else
-            noteSuspect(m_state, fingerprint, news->workspace, now);
+            recordSuspect(m_state, fingerprint, news->workspace, now);
     }
 }
 
@@ -202,7 +205,7 @@
         logRequest(EventId::QuarantineReleased, entry.fingerprint, entry.workspace);
 }
 
-void Quarantine::tell(const QList<QCborMap> &news) const
+void Quarantine::publish(const QList<QCborMap> &news) const
 {
     if (!m_newsCallback)
         return;
--- a/src/quarantine/QuarantineEntry.h
+++ b/src/quarantine/QuarantineEntry.h
@@ -1,4 +1,3 @@
-// Defines QuarantineEntry, one request that is held back, as operators see it.
 #pragma once
 
 #include "quarantine/RequestFingerprint.h"
@@ -7,6 +6,7 @@
 
 namespace cranberry {
 
+/// A quarantined request as shown to operators.
 struct QuarantineEntry {
     RequestFingerprint fingerprint;
     WorkspaceId workspace;
--- a/src/quarantine/QuarantineNews.cpp
+++ b/src/quarantine/QuarantineNews.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr qsizetype FingerprintBytes = 16;
-constexpr qsizetype LongestName = 255;
-/// A week: what another daemon says never holds a request back for longer.
-constexpr qint64 LongestLeft = 604'800'000;
+constexpr qsizetype MaxNameLength = 255;
+/// One week. Limits the time for which a message of another daemon can block a request.
+constexpr qint64 MaxRemainingMs = 604'800'000;
 
-/// Each number is a wire value.
+/// Keys of the encoding; the numbers are part of the wire format.
 enum NewsKey {
     NewsKindKey = 1,
     NewsFingerprints = 2,
@@ -30,7 +30,7 @@
     QCborMap body{{NewsKindKey, int(news.kind)},
                   {NewsFingerprints, fingerprints},
                   {NewsWorkspace, news.workspace.text()},
-                  {NewsLeft, qint64(news.left.count())}};
+                  {NewsLeft, qint64(news.remaining.count())}};
     if (!news.target.isEmpty())
         body.insert(NewsTarget, news.target.text());
     return body;
@@ -42,16 +42,16 @@
     const QCborArray fingerprints = body.value(NewsFingerprints).toArray();
     const QString workspace = body.value(NewsWorkspace).toString();
     const QString target = body.value(NewsTarget).toString();
-    const qint64 left = body.value(NewsLeft).toInteger(-1);
+    const qint64 remaining = body.value(NewsLeft).toInteger(-1);
     if (kind < qint64(QuarantineNewsKind::Suspects)
         || kind > qint64(QuarantineNewsKind::ProbationReserved) || fingerprints.isEmpty()
-        || fingerprints.size() > MostFingerprintsOfNews || workspace.size() > LongestName
-        || target.size() > LongestName || left < 0 || left > LongestLeft)
+        || fingerprints.size() > MaxFingerprintsPerNews || workspace.size() > MaxNameLength
+        || target.size() > MaxNameLength || remaining < 0 || remaining > MaxRemainingMs)
         return std::nullopt;
     QuarantineNews news;
     news.kind = QuarantineNewsKind(kind);
     news.workspace = WorkspaceId(workspace);
-    news.left = Milliseconds(left);
+    news.remaining = Milliseconds(remaining);
     news.target = TargetId(target);
     for (const auto &fingerprint : fingerprints) {
         const QByteArray bytes = fingerprint.toByteArray();
--- a/src/quarantine/QuarantineNews.h
+++ b/src/quarantine/QuarantineNews.h
@@ -1,4 +1,3 @@
-// Defines QuarantineNews, what daemons tell each other of suspects and quarantined requests.
 #pragma once
 
 #include "base/Units.h"
@@ -20,24 +19,25 @@
     ProbationReserved = 6,
 };
 
+/// A message between daemons about suspects, probations or quarantined requests.
 struct QuarantineNews {
     QuarantineNewsKind kind = QuarantineNewsKind::Suspects;
-    /// Of one workspace; several only of suspects.
+    /// Requests of one workspace; more than one only for Suspects.
     QList<RequestFingerprint> fingerprints;
     WorkspaceId workspace;
-    /// Time that is left of a quarantine or at most of a probation.
-    Milliseconds left{0};
-    /// Where a suspect runs; only of probations.
+    /// Remaining time of a quarantine, or maximum remaining time of a probation.
+    Milliseconds remaining{0};
+    /// The target of a probation; empty for other kinds.
     TargetId target;
 };
 
-/// So many fingerprints fit the bound of a membership delta.
-constexpr int MostFingerprintsOfNews = 8;
+/// Maximum number of fingerprints that fit into the size limit of a membership delta.
+constexpr int MaxFingerprintsPerNews = 8;
 
 /// Thread-safe.
 QCborMap quarantineNewsToCbor(const QuarantineNews &news);
 
-/// Empty if @p body is not well formed. Thread-safe.
+/// Empty if @p body is malformed. Thread-safe.
 std::optional<QuarantineNews> quarantineNewsFromCbor(const QCborMap &body);
 
 } // namespace cranberry
--- a/src/quarantine/QuarantineOutcome.h
+++ b/src/quarantine/QuarantineOutcome.h
@@ -1,4 +1,3 @@
-// Defines what a target's death means for a request that was on it.
 #pragma once
 
 #include "quarantine/RequestFingerprint.h"
@@ -6,22 +5,23 @@
 namespace cranberry {
 
 enum class QuarantineVerdict {
-    /// Nothing speaks against it.
+    /// The request is not suspected.
     Free,
-    /// It was on a target that died; retry it only on a probation target.
+    /// The request was running on a target that died; it may be retried only on a probation target.
     Suspect,
-    /// It crashed two targets; refuse it.
+    /// The request crashed two targets and is refused.
     Quarantined,
 };
 
-/// Why a target is gone.
+/// Why a target died.
 enum class TargetDeathCause {
-    /// Unknown, so it may have been a request.
+    /// The cause is unknown, so a request may have caused it.
     Crash,
-    /// It was seen leaving, or its VM was reclaimed: no request is to blame.
+    /// The target announced that it was leaving, or its VM was reclaimed; no request is the cause.
     Reclaimed,
 };
 
+/// The consequence of a target's death for a request that was running on it.
 struct QuarantineOutcome {
     RequestFingerprint fingerprint;
     WorkspaceId workspace;
--- a/src/quarantine/QuarantineRules.cpp
+++ b/src/quarantine/QuarantineRules.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Each request's own order of the targets; the same in every process, unlike qHash.
-QByteArray preference(const RequestFingerprint &fingerprint, const TargetId &target)
+/// Orders the targets differently for each request, and equally in every process, unlike qHash.
+QByteArray preferenceHash(const RequestFingerprint &fingerprint, const TargetId &target)
 {
     const QString text = fingerprint.text() + target.text();
     return QCryptographicHash::hash(text.toUtf8(), QCryptographicHash::Sha1);
@@ -22,11 +22,11 @@
     return std::chrono::duration_cast<Milliseconds>(now - since);
 }
 
-/// Removes the entry that @p older puts first if the table is full.
+/// Removes the entry that @p older orders first if the table is full.
 template <typename Table, typename Older>
-void makeRoom(Table &table, int most, Older older)
+void evictOldestIfFull(Table &table, int maxEntries, Older older)
 {
-    if (table.size() < most)
+    if (table.size() < maxEntries)
         return;
     auto oldest = table.begin();
     for (auto entry = table.begin(); entry != table.end(); ++entry) {
@@ -39,8 +39,8 @@
 void addSuspect(QuarantineState &state, const RequestFingerprint &fingerprint,
                 const SuspectRequest &suspect)
 {
-    makeRoom(state.suspects, state.settings.mostSuspects,
-             [](const auto &a, const auto &b) { return a.since < b.since; });
+    evictOldestIfFull(state.suspects, state.settings.maxSuspects,
+                      [](const auto &a, const auto &b) { return a.since < b.since; });
     state.suspects.insert(fingerprint, suspect);
 }
 
@@ -50,15 +50,15 @@
                        [&](const auto &requests) { return requests.contains(fingerprint); });
 }
 
-void forgetOldDeaths(QuarantineState &state, MonotonicTime now)
+void dropOldDeaths(QuarantineState &state, MonotonicTime now)
 {
     state.deaths.removeIf([&](const TargetDeath &death) {
-        return elapsed(death.time, now) > state.settings.massWindow;
+        return elapsed(death.time, now) > state.settings.massDeathWindow;
     });
 }
 
-/// True if some request was on two of the dead targets.
-bool shareRequest(const QList<TargetDeath> &deaths)
+/// True if a request was running on two of the dead targets.
+bool hasCommonRequest(const QList<TargetDeath> &deaths)
 {
     QSet<RequestFingerprint> seen;
     for (const TargetDeath &death : deaths) {
@@ -71,13 +71,14 @@
     return false;
 }
 
-/// A rack, a switch or a data centre went and took many targets at once. Blaming what ran on
-/// them would put the next ordinary request away that meets a second death, so all suspicions
-/// of these deaths end. A request that its caller sent to many targets at once looks alike,
-/// but then it was on several of them. Returns true if no request is to blame.
-bool clearedByMassDeath(QuarantineState &state)
+/// The failure of a rack, a switch or a data centre kills many targets at once. If their requests
+/// were blamed, an ordinary request that is on a second dying target would be quarantined, so all
+/// suspicions of these deaths are cleared. A request that its caller sent to many targets at once
+/// also kills several targets, but is then found on more than one of them. Returns true if no
+/// request is to blame.
+bool clearMassDeathSuspects(QuarantineState &state)
 {
-    if (state.deaths.size() < state.settings.massDeaths || shareRequest(state.deaths))
+    if (state.deaths.size() < state.settings.massDeathCount || hasCommonRequest(state.deaths))
         return false;
     for (const TargetDeath &death : std::as_const(state.deaths)) {
         for (const RequestFingerprint &fingerprint : death.requests)
@@ -86,30 +87,30 @@
     return true;
 }
 
-bool survived(const QuarantineSettings &settings, const SuspectRequest &suspect,
-              const RunningRequest &running, MonotonicTime now)
+bool hasSurvived(const QuarantineSettings &settings, const SuspectRequest &suspect,
+                 const RunningRequest &running, MonotonicTime now)
 {
-    const Milliseconds needed =
-        std::max(settings.leastSurvival, settings.survivalFactor * suspect.ranBefore);
-    return elapsed(running.since, now) >= needed;
+    const Milliseconds requiredRunTime =
+        std::max(settings.minSurvivalTime, settings.survivalFactor * suspect.runTimeBeforeDeath);
+    return elapsed(running.since, now) >= requiredRunTime;
 }
 
-/// Two daemons that reserve one target in the same moment hear of each other before either
-/// starts; the smaller fingerprint goes first.
-bool isGood(const QuarantineState &state, const RequestFingerprint &fingerprint,
-            const ProbationReservation &reservation, const QList<ProbationCandidate> &candidates,
-            MonotonicTime now)
+/// Two daemons that reserve one target at the same time receive each other's announcement before
+/// either starts; the suspect with the smaller fingerprint has precedence.
+bool isReservationValid(const QuarantineState &state, const RequestFingerprint &fingerprint,
+                        const ProbationReservation &reservation,
+                        const QList<ProbationCandidate> &candidates, MonotonicTime now)
 {
     const bool isCandidate =
         std::any_of(candidates.begin(), candidates.end(),
-                    [&](const auto &one) { return one.target == reservation.target; });
+                    [&](const auto &candidate) { return candidate.target == reservation.target; });
     const QHash<RequestFingerprint, RemoteProbation> remote =
         state.remoteProbations.value(reservation.target);
     const bool isFirst =
         std::none_of(remote.keyBegin(), remote.keyEnd(),
                      [&](const RequestFingerprint &other) { return other < fingerprint; });
     return isCandidate && isFirst
-        && elapsed(reservation.since, now) <= state.settings.reservationLife;
+        && elapsed(reservation.since, now) <= state.settings.reservationTimeout;
 }
 
 void clearSurvivors(QuarantineState &state, MonotonicTime now)
@@ -118,7 +119,7 @@
         for (auto request = requests.begin(); request != requests.end(); ++request) {
             const auto suspect = state.suspects.constFind(request.key());
             if (suspect != state.suspects.constEnd()
-                && survived(state.settings, *suspect, *request, now))
+                && hasSurvived(state.settings, *suspect, *request, now))
                 state.suspects.erase(suspect);
         }
     }
@@ -134,7 +135,7 @@
                                                 : QuarantineVerdict::Free;
 }
 
-qsizetype suspectsOn(const QuarantineState &state, const TargetId &target)
+qsizetype suspectCount(const QuarantineState &state, const TargetId &target)
 {
     const QHash<RequestFingerprint, RunningRequest> requests = state.running.value(target);
     const qsizetype own = std::count_if(requests.keyBegin(), requests.keyEnd(),
@@ -151,13 +152,14 @@
                                         const RequestFingerprint &fingerprint,
                                         const QList<ProbationCandidate> &candidates)
 {
-    // Daemons do not know of each other's suspects on a target in time: among equals each
-    // request takes its own order of the targets, so that two seldom meet.
+    // Other daemons' suspects on a target may not be known yet. Among candidates of equal cost each
+    // request uses its own order, so that two suspects rarely choose the same target.
     const auto order = [&](const ProbationCandidate &candidate) {
-        return std::make_tuple(candidate.atStake, preference(fingerprint, candidate.target),
+        return std::make_tuple(candidate.crashCost, preferenceHash(fingerprint, candidate.target),
                                candidate.target);
     };
-    const double most = std::max(1.0, state.settings.probationShare * double(candidates.size()));
+    const double maxOnProbation =
+        std::max(1.0, state.settings.probationShare * double(candidates.size()));
     int onProbation = 0;
     const ProbationCandidate *best = nullptr;
     for (const ProbationCandidate &candidate : candidates) {
@@ -166,14 +168,14 @@
         else if (!best || order(candidate) < order(*best))
             best = &candidate;
     }
-    if (!best || onProbation + 1 > most)
+    if (!best || onProbation + 1 > maxOnProbation)
         return std::nullopt;
     return best->target;
 }
 
 bool isOnProbation(const QuarantineState &state, const TargetId &target)
 {
-    return suspectsOn(state, target) > 0 || state.remoteProbations.contains(target)
+    return suspectCount(state, target) > 0 || state.remoteProbations.contains(target)
         || std::any_of(state.reservations.begin(), state.reservations.end(),
                        [&](const ProbationReservation &entry) { return entry.target == target; });
 }
@@ -185,15 +187,15 @@
     const auto held = state.reservations.constFind(fingerprint);
     if (held != state.reservations.constEnd()) {
         const TargetId target = held->target;
-        if (isGood(state, fingerprint, *held, candidates, now)) {
-            if (elapsed(held->since, now) < state.settings.reservation)
+        if (isReservationValid(state, fingerprint, *held, candidates, now)) {
+            if (elapsed(held->since, now) < state.settings.reservationDelay)
                 return decision;
             state.reservations.remove(fingerprint);
             decision.start = target;
             return decision;
         }
         state.reservations.remove(fingerprint);
-        decision.givenUp = target;
+        decision.abandoned = target;
     }
     decision.reserved = probationTarget(state, fingerprint, candidates);
     if (decision.reserved)
@@ -201,10 +203,10 @@
     return decision;
 }
 
-void noteAttemptStarted(QuarantineState &state, const RequestFingerprint &fingerprint,
-                        const WorkspaceId &workspace, const TargetId &target, MonotonicTime now)
+void recordAttemptStarted(QuarantineState &state, const RequestFingerprint &fingerprint,
+                          const WorkspaceId &workspace, const TargetId &target, MonotonicTime now)
 {
-    // A request without a fingerprint is never known again.
+    // A request without a fingerprint cannot be recognized again.
     if (fingerprint.isEmpty())
         return;
     RunningRequest &request = state.running[target][fingerprint];
@@ -214,10 +216,10 @@
     ++request.attempts;
 }
 
-void noteAttemptFinished(QuarantineState &state, const RequestFingerprint &fingerprint,
-                         const TargetId &target, bool ran)
+void recordAttemptFinished(QuarantineState &state, const RequestFingerprint &fingerprint,
+                           const TargetId &target, bool completed)
 {
-    if (ran)
+    if (completed)
         state.suspects.remove(fingerprint);
     const auto requests = state.running.find(target);
     if (requests == state.running.end() || !requests->contains(fingerprint))
@@ -228,25 +230,25 @@
         state.running.erase(requests);
 }
 
-QList<QuarantineOutcome> noteTargetDied(QuarantineState &state, const TargetId &target,
-                                        TargetDeathCause cause, MonotonicTime now)
+QList<QuarantineOutcome> recordTargetDeath(QuarantineState &state, const TargetId &target,
+                                           TargetDeathCause cause, MonotonicTime now)
 {
-    const qsizetype suspects = suspectsOn(state, target);
+    const qsizetype suspects = suspectCount(state, target);
     const QHash<RequestFingerprint, RunningRequest> requests = state.running.take(target);
     state.remoteProbations.remove(target);
-    forgetOldDeaths(state, now);
+    dropOldDeaths(state, now);
     if (cause == TargetDeathCause::Crash)
         state.deaths.append({now, requests.keys()});
-    const bool blameless = cause == TargetDeathCause::Reclaimed || clearedByMassDeath(state);
+    const bool blameless = cause == TargetDeathCause::Reclaimed || clearMassDeathSuspects(state);
     QList<QuarantineOutcome> outcomes;
     for (auto request = requests.begin(); request != requests.end(); ++request) {
         const RequestFingerprint &fingerprint = request.key();
         const bool wasSuspect = state.suspects.contains(fingerprint);
-        // Two suspects met, by way of two daemons or of equal requests sent at once: which of
-        // them it was only a further crash can tell.
+        // Two suspects can be on one target through two daemons or through equal requests sent at
+        // the same time. Only a further crash can show which one is the cause.
         if (!blameless && wasSuspect && suspects == 1)
-            noteQuarantined(state,
-                            {fingerprint, request->workspace, now + state.settings.quarantine});
+            recordQuarantined(
+                state, {fingerprint, request->workspace, now + state.settings.quarantineDuration});
         else if (!blameless && suspects == 0)
             addSuspect(state, fingerprint, {request->workspace, now, elapsed(request->since, now)});
         outcomes.append({fingerprint, request->workspace, verdictOf(state, fingerprint)});
@@ -254,17 +256,17 @@
     return outcomes;
 }
 
-void noteSuspect(QuarantineState &state, const RequestFingerprint &fingerprint,
-                 const WorkspaceId &workspace, MonotonicTime now)
+void recordSuspect(QuarantineState &state, const RequestFingerprint &fingerprint,
+                   const WorkspaceId &workspace, MonotonicTime now)
 {
     if (!state.suspects.contains(fingerprint) && !state.quarantined.contains(fingerprint))
         addSuspect(state, fingerprint, {workspace, now, Milliseconds(0)});
 }
 
-void noteRemoteProbation(QuarantineState &state, const RequestFingerprint &fingerprint,
-                         const TargetId &target, const RemoteProbation &probation)
+void recordRemoteProbation(QuarantineState &state, const RequestFingerprint &fingerprint,
+                           const TargetId &target, const RemoteProbation &probation)
 {
-    if (state.remoteProbations.size() >= state.settings.mostSuspects)
+    if (state.remoteProbations.size() >= state.settings.maxSuspects)
         return;
     state.remoteProbations[target].insert(fingerprint, probation);
 }
@@ -280,14 +282,14 @@
         state.remoteProbations.erase(found);
 }
 
-void noteQuarantined(QuarantineState &state, const QuarantineEntry &entry)
+void recordQuarantined(QuarantineState &state, const QuarantineEntry &entry)
 {
     state.suspects.remove(entry.fingerprint);
     const auto held = state.quarantined.constFind(entry.fingerprint);
     if (held != state.quarantined.constEnd() && entry.until <= held->until)
         return;
-    makeRoom(state.quarantined, state.settings.mostQuarantined,
-             [](const auto &a, const auto &b) { return a.until < b.until; });
+    evictOldestIfFull(state.quarantined, state.settings.maxQuarantined,
+                      [](const auto &a, const auto &b) { return a.until < b.until; });
     state.quarantined.insert(entry.fingerprint, entry);
 }
 
@@ -301,7 +303,7 @@
 {
     clearSurvivors(state, now);
     state.reservations.removeIf([&](const auto &entry) {
-        return elapsed(entry.value().since, now) > state.settings.reservationLife;
+        return elapsed(entry.value().since, now) > state.settings.reservationTimeout;
     });
     for (auto probation = state.remoteProbations.begin();
          probation != state.remoteProbations.end();) {
@@ -310,7 +312,7 @@
             probation->isEmpty() ? state.remoteProbations.erase(probation) : std::next(probation);
     }
     state.suspects.removeIf([&](const auto &entry) {
-        return elapsed(entry.value().since, now) > state.settings.suspicion
+        return elapsed(entry.value().since, now) > state.settings.suspicionPeriod
             && !isRunning(state, entry.key());
     });
     QList<QuarantineEntry> ended;
--- a/src/quarantine/QuarantineSettings.h
+++ b/src/quarantine/QuarantineSettings.h
@@ -1,35 +1,35 @@
-// Defines QuarantineSettings, the times and bounds of quarantine.
 #pragma once
 
 #include "base/Units.h"
 
 namespace cranberry {
 
+/// Time limits and bounds of quarantine.
 struct QuarantineSettings {
-    /// How long a request that crashed two targets is held back.
-    Milliseconds quarantine{600'000};
-    /// How long a suspect that does not run is remembered.
-    Milliseconds suspicion{600'000};
-    /// A suspect that has run so long, and longer than before the crash by the factor below, is
-    /// cleared while it runs.
-    Milliseconds leastSurvival{10'000};
+    /// Time for which a request that crashed two targets is refused.
+    Milliseconds quarantineDuration{600'000};
+    /// Time after which a suspect that is not running is cleared.
+    Milliseconds suspicionPeriod{600'000};
+    /// A running suspect is cleared once it has run for this time and for survivalFactor times as
+    /// long as it ran before the crash.
+    Milliseconds minSurvivalTime{10'000};
     int survivalFactor = 2;
-    /// Targets that die within this time of each other ...
-    Milliseconds massWindow{2000};
-    /// ... and are at least so many did not die of one request each: a rack or a switch went.
-    int massDeaths = 3;
-    /// So many of a service's targets run a suspect at once, but at least one may: they take no
-    /// other new work meanwhile.
+    /// If at least massDeathCount targets die within this time, the cause is a common failure such
+    /// as a rack or a switch, not the requests.
+    Milliseconds massDeathWindow{2000};
+    int massDeathCount = 3;
+    /// Maximum share of a service's targets that run a suspect at once, but at least one target.
+    /// They accept no other new work meanwhile.
     double probationShare = 0.2;
-    /// How long another daemon's probation of a target counts if its end is not heard.
+    /// Time after which another daemon's probation expires if the message about its end is lost.
     Milliseconds probationLease{120'000};
-    /// How long a daemon that has others announces a probation before it starts: daemons that
-    /// lose one target find out in the same moment and would choose the same one next.
-    Milliseconds reservation{300};
-    /// A reservation that is not used for so long is void.
-    Milliseconds reservationLife{3000};
-    int mostSuspects = 4096;
-    int mostQuarantined = 1024;
+    /// Time for which a daemon with peers announces a probation before it starts. Daemons that lose
+    /// the same target detect it at the same time and would choose the same next target.
+    Milliseconds reservationDelay{300};
+    /// Time after which an unused reservation expires.
+    Milliseconds reservationTimeout{3000};
+    int maxSuspects = 4096;
+    int maxQuarantined = 1024;
 };
 
 } // namespace cranberry
--- a/src/quarantine/QuarantineState.h
+++ b/src/quarantine/QuarantineState.h
@@ -1,4 +1,3 @@
-// Defines QuarantineState, all that one daemon's quarantine remembers.
 #pragma once
 
 #include "base/Units.h"
@@ -12,7 +11,7 @@
 
 namespace cranberry {
 
-/// Attempts of one request on one target.
+/// The attempts of one request on one target.
 struct RunningRequest {
     WorkspaceId workspace;
     int attempts = 0;
@@ -22,8 +21,8 @@
 struct SuspectRequest {
     WorkspaceId workspace;
     MonotonicTime since;
-    /// How long it had run when its target died.
-    Milliseconds ranBefore{0};
+    /// How long the request had run when its target died.
+    Milliseconds runTimeBeforeDeath{0};
 };
 
 /// A probation that is announced and has not started.
@@ -34,28 +33,30 @@
 
 /// A probation of another daemon.
 struct RemoteProbation {
-    /// It counts until then if its end is not heard.
+    /// Expiry time, if the message about its end is lost.
     MonotonicTime until;
-    /// False while it is only reserved: a death of the target cannot be its fault.
+    /// False while the target is only reserved; the suspect cannot cause a death of the target
+    /// then.
     bool running = false;
 };
 
-/// A target's death and what ran on it.
+/// The death of a target and the requests that were running on it.
 struct TargetDeath {
     MonotonicTime time;
     QList<RequestFingerprint> requests;
 };
 
-/// A plain value; the functions of QuarantineRules.h change it.
+/// The complete quarantine state of one daemon. A plain value, changed by the functions in
+/// QuarantineRules.h.
 struct QuarantineState {
     QuarantineSettings settings;
     QMap<TargetId, QHash<RequestFingerprint, RunningRequest>> running;
     QHash<RequestFingerprint, SuspectRequest> suspects;
     QHash<RequestFingerprint, ProbationReservation> reservations;
-    /// Suspects that run, or are to run, on a target by way of other daemons.
+    /// Suspects of other daemons that run, or are about to run, on a target.
     QMap<TargetId, QHash<RequestFingerprint, RemoteProbation>> remoteProbations;
     QHash<RequestFingerprint, QuarantineEntry> quarantined;
-    /// Of the last massWindow.
+    /// Deaths within the last massDeathWindow.
     QList<TargetDeath> deaths;
 };
 
--- a/src/quarantine/RequestFingerprint.cpp
+++ b/src/quarantine/RequestFingerprint.cpp
@@ -14,7 +14,7 @@
                                       const QByteArray &body)
 {
     QCryptographicHash hash(QCryptographicHash::Sha256);
-    // Each part is preceded by its size, so that no two triples give the same bytes.
+    // Each part is prefixed with its size, so that different inputs never produce the same bytes.
     for (const QByteArray &part : {workspace.text().toUtf8(), path, body}) {
         hash.addData(QByteArray::number(part.size()) + ':');
         hash.addData(part);
--- a/src/quarantine/RequestFingerprint.h
+++ b/src/quarantine/RequestFingerprint.h
@@ -1,4 +1,3 @@
-// Defines RequestFingerprint, by which a request is known again when its caller sends it again.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,11 +6,11 @@
 
 namespace cranberry {
 
-/// 32 hex digits.
+/// Identifies a request when its caller sends it again; 32 hex digits.
 using RequestFingerprint = StrongId<struct RequestFingerprintTag>;
 
-/// The same for equal bodies of one workspace to one path only: a workspace can never have
-/// another one's request held back. Thread-safe.
+/// Equal only for equal bodies sent by one workspace to one path, so a workspace cannot cause
+/// another workspace's request to be quarantined. Thread-safe.
 RequestFingerprint requestFingerprint(const WorkspaceId &workspace, const QByteArray &path,
                                       const QByteArray &body);
 
--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -26,7 +26,7 @@
         datagrams.send(peers.peers(), DatagramKind::Quarantine, QCborArray{news});
     });
     datagrams.onMessage(DatagramKind::Quarantine, [this](const Peer &, const QCborArray &body) {
-        m_quarantine.takeNews(body.at(0).toMap(), m_timers.now());
+        m_quarantine.handleNews(body.at(0).toMap(), m_timers.now());
     });
 }
 
@@ -34,7 +34,7 @@
 
 bool CrashGuard::isHeldBack(const RequestFingerprint &request)
 {
-    return m_quarantine.mayRun(request, m_timers.now()) == QuarantineVerdict::Quarantined;
+    return m_quarantine.verdict(request, m_timers.now()) == QuarantineVerdict::Quarantined;
 }
 
 void CrashGuard::attemptEnded(const RequestFingerprint &request, const WorkspaceId &workspace,
@@ -43,7 +43,7 @@
     if (fate == AttemptFate::Broken)
         attemptBroke(request, workspace, target);
     const bool isCleared = fate == AttemptFate::Answered
-        && m_quarantine.mayRun(request, m_timers.now()) == QuarantineVerdict::Suspect;
+        && m_quarantine.verdict(request, m_timers.now()) == QuarantineVerdict::Suspect;
     if (isCleared)
         m_quarantine.release(request);
 }
--- a/test/correctness/QuarantineBlame.cpp
+++ b/test/correctness/QuarantineBlame.cpp
@@ -39,9 +39,9 @@
     table.attemptStarted(print(3), Workspace, target(1), Start);
     BOOST_TEST(table.isOnProbation(target(1)));
     table.targetDied(target(1), TargetDeathCause::Crash, Start);
-    BOOST_TEST((table.mayRun(print(3), Start) == QuarantineVerdict::Quarantined));
-    BOOST_TEST((table.mayRun(print(9), Start) == QuarantineVerdict::Free));
-    BOOST_TEST((table.mayRun(print(0), Start) == QuarantineVerdict::Suspect));
+    BOOST_TEST((table.verdict(print(3), Start) == QuarantineVerdict::Quarantined));
+    BOOST_TEST((table.verdict(print(9), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((table.verdict(print(0), Start) == QuarantineVerdict::Suspect));
     BOOST_TEST(table.entries(Start).size() == 1);
 }
 
@@ -60,7 +60,7 @@
     table.attemptStarted(print(1), Workspace, target(1), Start);
     BOOST_TEST(!table.probationTarget(print(2), two).has_value());
     table.attemptFinished(print(0), target(2), true);
-    BOOST_TEST((table.mayRun(print(0), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((table.verdict(print(0), Start) == QuarantineVerdict::Free));
     BOOST_TEST((table.probationTarget(print(2), two) == target(2)));
 }
 
@@ -89,7 +89,7 @@
     Quarantine table;
     table.attemptStarted(print(0), Workspace, target(0), Start);
     table.targetDied(target(0), TargetDeathCause::Reclaimed, Start);
-    BOOST_TEST((table.mayRun(print(0), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((table.verdict(print(0), Start) == QuarantineVerdict::Free));
 }
 
 BOOST_AUTO_TEST_CASE(RackThatFailsBlamesNobody)
@@ -102,7 +102,7 @@
     for (int i = 0; i < 3; ++i)
         table.targetDied(target(i), TargetDeathCause::Crash, Start + Milliseconds(100 * i));
     for (int i = 0; i < 3; ++i)
-        BOOST_TEST((table.mayRun(print(i), Start) == QuarantineVerdict::Free));
+        BOOST_TEST((table.verdict(print(i), Start) == QuarantineVerdict::Free));
 }
 
 BOOST_AUTO_TEST_CASE(RequestSentToManyTargetsAtOnceIsStillFound)
@@ -112,7 +112,7 @@
         table.attemptStarted(print(0), Workspace, target(i), Start);
     for (int i = 0; i < 4; ++i)
         table.targetDied(target(i), TargetDeathCause::Crash, Start);
-    BOOST_TEST((table.mayRun(print(0), Start) == QuarantineVerdict::Quarantined));
+    BOOST_TEST((table.verdict(print(0), Start) == QuarantineVerdict::Quarantined));
 }
 
 BOOST_AUTO_TEST_CASE(SuspectThatSurvivesIsCleared)
@@ -123,16 +123,16 @@
     table.targetDied(target(0), TargetDeathCause::Crash, died);
     table.attemptStarted(print(0), Workspace, target(1), died);
     BOOST_TEST(
-        (table.mayRun(print(0), died + std::chrono::seconds(39)) == QuarantineVerdict::Suspect));
+        (table.verdict(print(0), died + std::chrono::seconds(39)) == QuarantineVerdict::Suspect));
     BOOST_TEST(
-        (table.mayRun(print(0), died + std::chrono::seconds(40)) == QuarantineVerdict::Free));
+        (table.verdict(print(0), died + std::chrono::seconds(40)) == QuarantineVerdict::Free));
 }
 
 BOOST_AUTO_TEST_CASE(TimeAndOperatorRelease)
 {
     Quarantine table;
     Quarantine peer;
-    table.onNews([&](const QCborMap &news) { peer.takeNews(news, Start); });
+    table.onNews([&](const QCborMap &news) { peer.handleNews(news, Start); });
     const auto crash = [&](int first) {
         for (int i = first; i < first + 2; ++i) {
             table.attemptStarted(print(0), Workspace, target(i), Start);
@@ -140,15 +140,15 @@
         }
     };
     crash(0);
-    BOOST_TEST((peer.mayRun(print(0), Start) == QuarantineVerdict::Quarantined));
+    BOOST_TEST((peer.verdict(print(0), Start) == QuarantineVerdict::Quarantined));
     BOOST_TEST(table.release(print(0)));
-    BOOST_TEST((table.mayRun(print(0), Start) == QuarantineVerdict::Free));
-    BOOST_TEST((peer.mayRun(print(0), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((table.verdict(print(0), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((peer.verdict(print(0), Start) == QuarantineVerdict::Free));
     BOOST_TEST(!table.release(print(0)));
     crash(2);
-    const MonotonicTime later = Start + QuarantineSettings().quarantine;
-    BOOST_TEST((table.mayRun(print(0), later) == QuarantineVerdict::Free));
-    BOOST_TEST((peer.mayRun(print(0), later) == QuarantineVerdict::Free));
+    const MonotonicTime later = Start + QuarantineSettings().quarantineDuration;
+    BOOST_TEST((table.verdict(print(0), later) == QuarantineVerdict::Free));
+    BOOST_TEST((peer.verdict(print(0), later) == QuarantineVerdict::Free));
 }
 
 BOOST_AUTO_TEST_CASE(SuspicionIsKnownToPeers)
@@ -156,15 +156,15 @@
     // The caller sends again through another daemon.
     Quarantine table;
     Quarantine peer;
-    table.onNews([&](const QCborMap &news) { peer.takeNews(news, Start); });
+    table.onNews([&](const QCborMap &news) { peer.handleNews(news, Start); });
     for (int i = 0; i < 20; ++i)
         table.attemptStarted(print(i), Workspace, target(0), Start);
     table.targetDied(target(0), TargetDeathCause::Crash, Start);
     for (int i = 0; i < 20; ++i)
-        BOOST_TEST((peer.mayRun(print(i), Start) == QuarantineVerdict::Suspect));
+        BOOST_TEST((peer.verdict(print(i), Start) == QuarantineVerdict::Suspect));
     peer.attemptStarted(print(7), Workspace, target(1), Start);
     peer.targetDied(target(1), TargetDeathCause::Crash, Start);
-    BOOST_TEST((peer.mayRun(print(7), Start) == QuarantineVerdict::Quarantined));
+    BOOST_TEST((peer.verdict(print(7), Start) == QuarantineVerdict::Quarantined));
 }
 
 BOOST_AUTO_TEST_CASE(SuspectsOfTwoDaemonsDoNotMeet)
@@ -175,7 +175,7 @@
     settings.probationShare = 1;
     Quarantine table(settings);
     Quarantine peer(settings);
-    table.onNews([&](const QCborMap &news) { peer.takeNews(news, Start); });
+    table.onNews([&](const QCborMap &news) { peer.handleNews(news, Start); });
     table.attemptStarted(print(0), Workspace, target(0), Start);
     table.targetDied(target(0), TargetDeathCause::Crash, Start);
     table.attemptStarted(print(0), Workspace, target(1), Start);
@@ -183,7 +183,7 @@
     BOOST_TEST((peer.probationTarget(print(5), {{target(1), 0}, {target(2), 9}}) == target(2)));
     peer.attemptStarted(print(6), Workspace, target(1), Start);
     peer.targetDied(target(1), TargetDeathCause::Crash, Start);
-    BOOST_TEST((peer.mayRun(print(6), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((peer.verdict(print(6), Start) == QuarantineVerdict::Free));
     table.attemptFinished(print(0), target(1), true);
     BOOST_TEST(!peer.isOnProbation(target(1)));
 }
@@ -210,16 +210,16 @@
     for (Milliseconds passed{0}; passed < Milliseconds(2000) && !(first && second);
          passed += Milliseconds(100)) {
         const MonotonicTime now = Start + passed;
-        table.mayRun(print(0), now);
-        peer.mayRun(print(1), now);
+        table.verdict(print(0), now);
+        peer.verdict(print(1), now);
         if (!first && (first = table.probationTarget(print(0), candidates)))
             table.attemptStarted(print(0), Workspace, *first, now);
         if (!second && (second = peer.probationTarget(print(1), candidates)))
             peer.attemptStarted(print(1), Workspace, *second, now);
         for (const QCborMap &news : std::exchange(toPeer, {}))
-            peer.takeNews(news, now);
+            peer.handleNews(news, now);
         for (const QCborMap &news : std::exchange(toTable, {}))
-            table.takeNews(news, now);
+            table.handleNews(news, now);
     }
     BOOST_REQUIRE((first && second));
     BOOST_TEST((*first != *second));
@@ -229,12 +229,12 @@
 {
     Quarantine table;
     Quarantine peer;
-    table.onNews([&](const QCborMap &news) { peer.takeNews(news, Start); });
+    table.onNews([&](const QCborMap &news) { peer.handleNews(news, Start); });
     table.attemptStarted(print(0), Workspace, target(0), Start);
     table.targetDied(target(0), TargetDeathCause::Crash, Start);
     table.attemptStarted(print(0), Workspace, target(1), Start);
     const MonotonicTime later = Start + QuarantineSettings().probationLease + Milliseconds(1);
-    peer.mayRun(print(7), later);
+    peer.verdict(print(7), later);
     BOOST_TEST(!peer.isOnProbation(target(1)));
 }
 
@@ -245,22 +245,22 @@
         table.attemptStarted(RequestFingerprint(), Workspace, target(i), Start);
         table.targetDied(target(i), TargetDeathCause::Crash, Start);
     }
-    BOOST_TEST((table.mayRun(RequestFingerprint(), Start) == QuarantineVerdict::Free));
+    BOOST_TEST((table.verdict(RequestFingerprint(), Start) == QuarantineVerdict::Free));
 }
 
 BOOST_AUTO_TEST_CASE(TablesAreBounded)
 {
     QuarantineSettings settings;
-    settings.mostSuspects = 10;
-    settings.mostQuarantined = 5;
-    settings.massDeaths = 1'000'000;
+    settings.maxSuspects = 10;
+    settings.maxQuarantined = 5;
+    settings.massDeathCount = 1'000'000;
     Quarantine table(settings);
     for (int i = 0; i < 50; ++i)
         table.attemptStarted(print(i), Workspace, target(0), Start);
     table.targetDied(target(0), TargetDeathCause::Crash, Start);
     int suspects = 0;
     for (int i = 0; i < 50; ++i)
-        suspects += table.mayRun(print(i), Start) == QuarantineVerdict::Suspect;
+        suspects += table.verdict(print(i), Start) == QuarantineVerdict::Suspect;
     BOOST_TEST(suspects == 10);
     for (int i = 0; i < 50; ++i) {
         for (int j = 1; j < 3; ++j) {
@@ -353,7 +353,7 @@
     int choose(int request)
     {
         const auto verdict =
-            m_withQuarantine ? m_table.mayRun(print(request), now()) : QuarantineVerdict::Free;
+            m_withQuarantine ? m_table.verdict(print(request), now()) : QuarantineVerdict::Free;
         if (verdict == QuarantineVerdict::Free)
             return chooseFree();
         if (verdict == QuarantineVerdict::Quarantined)
--- a/test/error/PeerMessages.cpp
+++ b/test/error/PeerMessages.cpp
@@ -169,7 +169,7 @@
             onProbe(state, from, *probe, now);
         if (const auto answer = probeAnswerFromCbor(body))
             onProbeAnswer(state, from, *answer, now);
-        quarantine.takeNews(body, now);
+        quarantine.handleNews(body, now);
         onTick(state, now, quint64(generator.number()));
         withinBounds = withinBounds && state.others.size() <= state.settings.mostMembers
             && state.gossip.items.size() <= state.settings.gossipItems
--- a/test/support/SuspectFleet.cpp
+++ b/test/support/SuspectFleet.cpp
@@ -57,7 +57,7 @@
 
 bool SuspectFleet::isHeldBack(Daemon &daemon)
 {
-    return daemon.table.mayRun(daemon.request, m_now) == QuarantineVerdict::Quarantined;
+    return daemon.table.verdict(daemon.request, m_now) == QuarantineVerdict::Quarantined;
 }
 
 void SuspectFleet::start(Daemon &daemon, const TargetId &at)
@@ -83,7 +83,7 @@
 {
     for (const News &news : std::exchange(daemon.incoming, {})) {
         if (news.arrives <= m_now)
-            daemon.table.takeNews(news.body, m_now);
+            daemon.table.handleNews(news.body, m_now);
         else
             daemon.incoming.push_back(news);
     }
