--- a/src/admission/AdmissionQueue.cpp
+++ b/src/admission/AdmissionQueue.cpp
@@ -12,18 +12,22 @@
 
 namespace {
 
-/// How soon after its deadline a waiting request gets its answer, and how often a forecast
-/// that changes with time alone is looked at again.
+/// Maximum delay of a deadline refusal, and the interval at which waiting requests are retried,
+/// since forecasts change with time alone.
 constexpr Milliseconds TickInterval{20};
-/// A target that restarts is back within this time more often than not.
-constexpr Milliseconds NoneUsableGrace{5000};
-/// Requests that are tried when the first in turn finds no room.
-constexpr int TurnsTried = 12;
-/// After so many passes a lane waits for the one in turn, so that nobody starves.
-constexpr int MostPasses = 16;
-/// Answers take longer than expected as often as shorter; this covers most.
-constexpr int AnswerTimeMargin = 2;
-Milliseconds passedSince(MonotonicTime since, MonotonicTime now)
+/// Time after which a request without a usable target is refused; most target restarts complete
+/// within it.
+constexpr Milliseconds NoUsableTargetTimeout{5000};
+/// Maximum number of waiting requests, one per workspace, that are tried for one placement.
+constexpr int MaxCandidates = 12;
+/// Maximum number of times that the first request in order may be bypassed. After that only this
+/// request is tried, which prevents starvation.
+constexpr int MaxBypasses = 16;
+/// An answer takes longer than expected about as often as shorter; twice the expected time covers
+/// most answers.
+constexpr int AnswerTimeFactor = 2;
+
+Milliseconds elapsed(MonotonicTime since, MonotonicTime now)
 {
     return std::chrono::duration_cast<Milliseconds>(now - since);
 }
@@ -33,8 +37,9 @@
 struct AdmissionQueue::Lane {
     WaitingLane waiting;
     WaitEstimate estimate;
-    /// Of the workspaces that waited lately. Equal shares of tokens are not equal shares of
-    /// turns: one with long answers waits longer than the lane as a whole.
+    /// Estimates of the workspaces that waited recently. Equal shares of tokens are not equal
+    /// shares of placements: a workspace with long answers waits longer than the average of the
+    /// lane.
     QHash<WorkspaceId, WaitEstimate> workspaceEstimates;
 };
 
@@ -43,17 +48,17 @@
     WorkspaceId workspace;
     Callback callback;
     MonotonicTime since;
-    /// When it gives up.
+    /// The time at which the request is refused.
     MonotonicTime deadline;
-    /// Since when no usable target was found for it.
-    std::optional<MonotonicTime> noneUsableSince;
+    /// Time since which no usable target has been found for the request.
+    std::optional<MonotonicTime> noUsableTargetSince;
 };
 
 struct AdmissionQueue::Charge {
     ServiceId service;
     WorkspaceId workspace;
     double weight = 1;
-    /// Tokens that were charged at placement and are not generated yet.
+    /// Tokens charged at placement that have not been generated yet.
     Tokens prepaid;
 };
 
@@ -91,11 +96,11 @@
         callback(*error);
         return;
     }
-    if (const std::optional<TargetId> target = tryNow(request)) {
+    if (const std::optional<TargetId> target = placeImmediately(request)) {
         callback(*target);
         return;
     }
-    waitTurn(request, std::move(callback));
+    waitOrRefuse(request, std::move(callback));
 }
 
 std::optional<Error> AdmissionQueue::admit(const AdmissionRequest &request)
@@ -106,14 +111,15 @@
         error = admissionError(ErrorKind::UnknownService, QStringLiteral("No such service."));
     } else if (!request.retry && !request.remote) {
         const WorkspaceLimits limits = m_configuration->workspaces.value(workspace).limits;
-        error = enter(m_limiter, request.placement.request, workspace, limits, m_timers.now());
+        error =
+            acquireSlot(m_limiter, request.placement.request, workspace, limits, m_timers.now());
     }
     if (error)
         logRefusal(request.placement, *error);
     return error;
 }
 
-std::optional<TargetId> AdmissionQueue::tryNow(const AdmissionRequest &request)
+std::optional<TargetId> AdmissionQueue::placeImmediately(const AdmissionRequest &request)
 {
     Lane &lane = laneOf(request);
     if (lane.waiting.size > 0)
@@ -121,29 +127,29 @@
     const Placement found = tryPlace(request, false);
     if (found.outcome != PlacementOutcome::Chosen)
         return std::nullopt;
-    placed(request, found, lane, Milliseconds(0));
+    commitPlacement(request, found, lane, Milliseconds(0));
     return found.target;
 }
 
-void AdmissionQueue::waitTurn(const AdmissionRequest &request, Callback callback)
+void AdmissionQueue::waitOrRefuse(const AdmissionRequest &request, Callback callback)
 {
     if (const std::optional<Error> error = refusal(request)) {
         requestEnded(request.placement.request);
         callback(*error);
         return;
     }
-    wait(request, std::move(callback));
+    addWaiter(request, std::move(callback));
 }
 
-// Called before the number of waiting requests changes.
-void AdmissionQueue::countWaiting(Lane &lane, const WorkspaceId &workspace)
+// Must be called before the number of waiting requests changes.
+void AdmissionQueue::updateWaitEstimates(Lane &lane, const WorkspaceId &workspace)
 {
     const MonotonicTime now = m_timers.now();
-    countTime(lane.estimate, now, lane.waiting.size > 0);
-    const int own = requestsOf(lane.waiting, workspace);
+    recordTime(lane.estimate, now, lane.waiting.size > 0);
+    const int own = waitingCount(lane.waiting, workspace);
     if (own == 0 && !lane.workspaceEstimates.contains(workspace))
         return;
-    countTime(lane.workspaceEstimates[workspace], now, own > 0);
+    recordTime(lane.workspaceEstimates[workspace], now, own > 0);
 }
 
 AdmissionQueue::Lane &AdmissionQueue::laneOf(const AdmissionRequest &request)
@@ -155,8 +161,8 @@
 {
     Lane &lane = laneOf(request);
     const WorkspaceId &workspace = request.placement.workspace;
-    countWaiting(lane, workspace);
-    const double own = 1.0 + double(requestsOf(lane.waiting, workspace));
+    updateWaitEstimates(lane, workspace);
+    const double own = 1.0 + double(waitingCount(lane.waiting, workspace));
     const std::optional<Milliseconds> byWorkspace =
         expectedWait(lane.workspaceEstimates.value(workspace), own);
     if (byWorkspace)
@@ -165,21 +171,22 @@
     return expectedWait(lane.estimate, ahead).value_or(Milliseconds(0));
 }
 
-// A request that is placed too late to be answered in time takes room for nothing, and those
-// behind it then are late too. Half of the time left may always be spent on waiting: what is
-// known of lengths is too little to refuse a caller for a short deadline alone.
+// A request placed too late to finish in time wastes capacity and makes the requests behind it late
+// too. At least half of the remaining time may be spent waiting, because length predictions are too
+// uncertain to refuse a request for a short deadline alone.
 MonotonicTime AdmissionQueue::latestStart(const AdmissionRequest &request) const
 {
     const MonotonicTime::duration left = request.deadline - m_timers.now();
     const MonotonicTime::duration answer = m_targets.expectedAnswerTime(request.placement);
-    return request.deadline - std::min(answer * AnswerTimeMargin, left / 2);
+    return request.deadline - std::min(answer * AnswerTimeFactor, left / 2);
 }
 
-Error AdmissionQueue::tooShort(const AdmissionRequest &request, Milliseconds expected) const
+Error AdmissionQueue::deadlineTooShortError(const AdmissionRequest &request,
+                                            Milliseconds expected) const
 {
     Error error = admissionError(
         ErrorKind::DeadlineTooShort,
-        QStringLiteral("The expected wait of %1 ms passes the deadline.").arg(expected.count()));
+        QStringLiteral("The expected wait of %1 ms exceeds the deadline.").arg(expected.count()));
     error.retryAfterSeconds = retryAfterSeconds(expected);
     logRefusal(request.placement, error);
     return error;
@@ -191,27 +198,28 @@
     capacityChanged();
 }
 
-void AdmissionQueue::recordGranted(const AdmissionRequest &request, const TargetId &target,
-                                   const std::function<void()> &ended)
+void AdmissionQueue::recordGrantedAttempt(const AdmissionRequest &request, const TargetId &target,
+                                          const std::function<void()> &ended)
 {
-    m_granted.insert(request.attempt, ended);
+    m_grantEndCallbacks.insert(request.attempt, ended);
     m_targets.attemptSent(target, request.attempt, request.placement, m_timers.now());
     if (!request.retry)
         addFirstAttempt(m_retries, request.placement.workspace, target);
 }
 
-// A caller that cannot be served in time learns it at once and can go elsewhere or degrade;
-// letting it wait for nothing would also keep those behind it from their turn.
+// An early refusal lets the caller go elsewhere or degrade. A request that waits in vain would also
+// delay those behind it.
 std::optional<Error> AdmissionQueue::refusal(const AdmissionRequest &request)
 {
     const PlacementRequest &placement = request.placement;
     const Milliseconds expected = expectedWaitOf(request);
     if (m_timers.now() + expected >= latestStart(request))
-        return tooShort(request, expected);
+        return deadlineTooShortError(request, expected);
     const int limit = service(placement.service)->queueLimit;
-    if (waitingIn(placement.service) >= limit && !makeRoom(request, limit)) {
-        Error error = admissionError(ErrorKind::QueueFull,
-                                     QStringLiteral("%1 requests wait, the limit.").arg(limit));
+    if (waitingIn(placement.service) >= limit && !evictForRequest(request, limit)) {
+        Error error = admissionError(
+            ErrorKind::QueueFull,
+            QStringLiteral("The queue is full: %1 requests are waiting, the limit.").arg(limit));
         error.retryAfterSeconds = retryAfterSeconds(expected);
         logRefusal(placement, error);
         return error;
@@ -219,24 +227,24 @@
     return std::nullopt;
 }
 
-// One workspace that fills the queue must not shut the others out of it, so the last request
-// of whoever waits with most for its weight makes room.
-bool AdmissionQueue::makeRoom(const AdmissionRequest &request, int queueLimit)
+// A workspace that fills the queue must not exclude the others, so the last request of the
+// workspace with the most waiting requests relative to its weight is evicted.
+bool AdmissionQueue::evictForRequest(const AdmissionRequest &request, int queueLimit)
 {
     const PlacementRequest &placement = request.placement;
     const Lane &lane = laneOf(request);
-    const WorkspaceId crowding =
-        crowdingWorkspace(lane.waiting, placement.workspace, weight(placement.workspace));
-    const auto found = lane.waiting.workspaces.find(crowding);
+    const WorkspaceId workspace =
+        workspaceToEvict(lane.waiting, placement.workspace, weight(placement.workspace));
+    const auto found = lane.waiting.workspaces.find(workspace);
     if (found == lane.waiting.workspaces.end())
         return false;
     const RequestId last = found->second.requests.back().placement.request;
-    Error error =
-        admissionError(ErrorKind::QueueFull,
-                       QStringLiteral("%1 requests wait, the limit, and the workspace has "
-                                      "more than its share of them.")
-                           .arg(queueLimit));
-    finish(last, error);
+    Error error = admissionError(
+        ErrorKind::QueueFull,
+        QStringLiteral("The queue is full: %1 requests are waiting, the limit, and the "
+                       "workspace has more than its share of them.")
+            .arg(queueLimit));
+    completeWaiter(last, error);
     return waitingIn(placement.service) < queueLimit;
 }
 
@@ -250,14 +258,14 @@
     return count;
 }
 
-void AdmissionQueue::wait(const AdmissionRequest &request, Callback callback)
+void AdmissionQueue::addWaiter(const AdmissionRequest &request, Callback callback)
 {
     Lane &lane = laneOf(request);
-    countWaiting(lane, request.placement.workspace);
+    updateWaitEstimates(lane, request.placement.workspace);
     const PlacementRequest &placement = request.placement;
     const auto known = lane.waiting.workspaces.find(placement.workspace);
     if (known == lane.waiting.workspaces.end())
-        startWaiting(m_shares[placement.service], placement.workspace);
+        liftToFloor(m_shares[placement.service], placement.workspace);
     insert(lane.waiting, request, weight(placement.workspace));
     m_waiters.insert(placement.request,
                      {{placement.service, placement.model},
@@ -278,7 +286,7 @@
 {
     const ServiceConfiguration *configured = service(request.placement.service);
     if (!configured)
-        return {PlacementOutcome::NoneUsable, {}, {}, QStringLiteral("service=gone")};
+        return {PlacementOutcome::NoUsableTarget, {}, {}, QStringLiteral("service=gone")};
     PlacementRequest placement = request.placement;
     placement.preferredOnly = preferredOnly;
     if (request.remote) {
@@ -287,30 +295,31 @@
     return m_targets.decide(request.attempt, placement, *configured, m_timers.now(), m_random());
 }
 
-void AdmissionQueue::placed(const AdmissionRequest &request, const Placement &placement, Lane &lane,
-                            Milliseconds waited)
+void AdmissionQueue::commitPlacement(const AdmissionRequest &request, const Placement &placement,
+                                     Lane &lane, Milliseconds waited)
 {
-    const PlacementRequest &what = request.placement;
-    countWaiting(lane, what.workspace);
+    const PlacementRequest &placementRequest = request.placement;
+    updateWaitEstimates(lane, placementRequest.workspace);
     if (lane.waiting.size > 0)
-        countPlacement(lane.estimate);
-    if (requestsOf(lane.waiting, what.workspace) > 0)
-        countPlacement(lane.workspaceEstimates[what.workspace]);
-    const double ownWeight = weight(what.workspace);
-    ServiceShares &shares = m_shares[what.service];
-    startServing(shares, what.workspace);
-    charge(shares, what.workspace, placement.expectedTokens, ownWeight);
+        recordPlacement(lane.estimate);
+    if (waitingCount(lane.waiting, placementRequest.workspace) > 0)
+        recordPlacement(lane.workspaceEstimates[placementRequest.workspace]);
+    const double ownWeight = weight(placementRequest.workspace);
+    ServiceShares &shares = m_shares[placementRequest.service];
+    raiseFloor(shares, placementRequest.workspace);
+    charge(shares, placementRequest.workspace, placement.expectedTokens, ownWeight);
     if (!request.remote) {
         m_charges.insert(request.attempt,
-                         {what.service, what.workspace, ownWeight, placement.expectedTokens});
+                         {placementRequest.service, placementRequest.workspace, ownWeight,
+                          placement.expectedTokens});
         if (!request.retry)
-            addFirstAttempt(m_retries, what.workspace, placement.target);
+            addFirstAttempt(m_retries, placementRequest.workspace, placement.target);
     }
     logEvent(LogLevel::Info, EventId::PlacementChosen,
-             {{"request", what.request.text()},
+             {{"request", placementRequest.request.text()},
               {"attempt", request.attempt.text()},
-              {"service", what.service.text()},
-              {"workspace", what.workspace.text()},
+              {"service", placementRequest.service.text()},
+              {"workspace", placementRequest.workspace.text()},
               {"target", placement.target.text()},
               {"waited_ms", QString::number(waited.count())},
               {"why", placement.reason}});
@@ -349,14 +358,14 @@
         charge(m_shares[found->service], found->workspace, unused, found->weight);
         m_charges.erase(found);
     }
-    if (const std::function<void()> ended = m_granted.take(attempt))
+    if (const std::function<void()> ended = m_grantEndCallbacks.take(attempt))
         ended();
     capacityChanged();
 }
 
 void AdmissionQueue::requestEnded(const RequestId &request)
 {
-    leave(m_limiter, request);
+    releaseSlot(m_limiter, request);
 }
 
 bool AdmissionQueue::takeRetry(const WorkspaceId &workspace, const TargetId &target)
@@ -364,44 +373,46 @@
     return cranberry::takeRetry(m_retries, workspace, target);
 }
 
-// A callback may end an attempt or enqueue another request; the loop then runs once more
-// instead of going into itself.
+// A callback may end an attempt or enqueue another request. The loop then runs again, which avoids
+// recursion.
 void AdmissionQueue::capacityChanged()
 {
-    m_serveAgain = true;
+    m_serveRequested = true;
     if (m_serving || m_waiters.isEmpty())
         return;
     m_serving = true;
-    while (m_serveAgain) {
-        m_serveAgain = false;
+    while (m_serveRequested) {
+        m_serveRequested = false;
         QList<LaneKey> keys;
         for (const auto &[key, lane] : m_lanes) {
             if (lane.waiting.size > 0)
                 keys.append(key);
         }
         for (const LaneKey &key : std::as_const(keys))
-            serve(key);
+            serveLane(key);
     }
     m_serving = false;
 }
 
-void AdmissionQueue::serve(const LaneKey &key)
+void AdmissionQueue::serveLane(const LaneKey &key)
 {
-    while (m_lanes[key].waiting.size > 0 && serveOne(key)) { }
+    while (m_lanes[key].waiting.size > 0 && serveNext(key)) { }
 }
 
-// Room on a target goes to a request whose prefix is wanted there, if one is near its turn;
-// prompt work that the cache saves is time between tokens for everyone else on the target.
-bool AdmissionQueue::serveOne(const LaneKey &key)
+// Prefers a request whose prefix is cached on a target with capacity if the request is among the
+// first in order: the prefill that the cache saves shortens the inter-token time of all other
+// streams on the target.
+bool AdmissionQueue::serveNext(const LaneKey &key)
 {
     const Lane &lane = m_lanes[key];
-    const int tried = lane.waiting.passed >= MostPasses ? 1 : TurnsTried;
-    const QList<AdmissionRequest> order = turns(lane.waiting, m_shares[key.service], tried);
-    return serveFirstOf(key, order, true) || serveFirstOf(key, order, false);
+    const int candidateLimit = lane.waiting.bypassCount >= MaxBypasses ? 1 : MaxCandidates;
+    const QList<AdmissionRequest> order =
+        nextRequests(lane.waiting, m_shares[key.service], candidateLimit);
+    return servePlaceable(key, order, true) || servePlaceable(key, order, false);
 }
 
-bool AdmissionQueue::serveFirstOf(const LaneKey &key, const QList<AdmissionRequest> &order,
-                                  bool preferredOnly)
+bool AdmissionQueue::servePlaceable(const LaneKey &key, const QList<AdmissionRequest> &order,
+                                    bool preferredOnly)
 {
     Lane &lane = m_lanes[key];
     for (qsizetype i = 0; i < order.size(); ++i) {
@@ -411,44 +422,46 @@
         Waiter &waiter = m_waiters[request.placement.request];
         const Placement found = tryPlace(request, preferredOnly);
         if (found.outcome == PlacementOutcome::Chosen) {
-            lane.waiting.passed = i == 0 ? 0 : lane.waiting.passed + 1;
-            placed(request, found, lane, passedSince(waiter.since, m_timers.now()));
-            finish(request.placement.request, found.target);
+            lane.waiting.bypassCount = i == 0 ? 0 : lane.waiting.bypassCount + 1;
+            commitPlacement(request, found, lane, elapsed(waiter.since, m_timers.now()));
+            completeWaiter(request.placement.request, found.target);
             return true;
         }
         if (found.outcome == PlacementOutcome::Wait)
-            waiter.noneUsableSince.reset();
-        else if (!waiter.noneUsableSince)
-            waiter.noneUsableSince = m_timers.now();
+            waiter.noUsableTargetSince.reset();
+        else if (!waiter.noUsableTargetSince)
+            waiter.noUsableTargetSince = m_timers.now();
     }
     return false;
 }
 
-void AdmissionQueue::giveUpExpired()
+void AdmissionQueue::refuseExpired()
 {
     const MonotonicTime now = m_timers.now();
-    QList<RequestId> late;
-    QList<RequestId> targetless;
+    QList<RequestId> expired;
+    QList<RequestId> withoutTarget;
     for (auto it = m_waiters.constBegin(); it != m_waiters.constEnd(); ++it) {
         if (it->deadline <= now)
-            late.append(it.key());
-        else if (it->noneUsableSince && now - *it->noneUsableSince >= NoneUsableGrace)
-            targetless.append(it.key());
+            expired.append(it.key());
+        else if (it->noUsableTargetSince && now - *it->noUsableTargetSince >= NoUsableTargetTimeout)
+            withoutTarget.append(it.key());
     }
-    for (const RequestId &request : std::as_const(late)) {
-        finish(request,
-               admissionError(
-                   ErrorKind::DeadlineExceeded,
-                   QStringLiteral("No target had room in time to answer before the deadline.")));
+    for (const RequestId &request : std::as_const(expired)) {
+        completeWaiter(
+            request,
+            admissionError(
+                ErrorKind::DeadlineExceeded,
+                QStringLiteral("No target had capacity in time to answer before the deadline.")));
     }
-    for (const RequestId &request : std::as_const(targetless)) {
-        finish(request,
-               admissionError(ErrorKind::NoTarget,
-                              QStringLiteral("No target that serves the request is usable.")));
+    for (const RequestId &request : std::as_const(withoutTarget)) {
+        completeWaiter(
+            request,
+            admissionError(ErrorKind::NoTarget,
+                           QStringLiteral("No target that serves the request is usable.")));
     }
 }
 
-void AdmissionQueue::finish(const RequestId &request, Result<TargetId> outcome)
+void AdmissionQueue::completeWaiter(const RequestId &request, Result<TargetId> outcome)
 {
     const auto found = m_waiters.find(request);
     if (found == m_waiters.end())
@@ -456,7 +469,7 @@
     const Waiter waiter = *found;
     m_waiters.erase(found);
     Lane &lane = m_lanes[waiter.lane];
-    countWaiting(lane, waiter.workspace);
+    updateWaitEstimates(lane, waiter.workspace);
     remove(lane.waiting, waiter.workspace, request);
     if (outcome.has_value()) {
         waiter.callback(std::move(outcome));
@@ -471,13 +484,13 @@
     waiter.callback(std::move(outcome));
 }
 
-// The timer only runs while somebody waits.
+// The timer runs only while requests wait.
 void AdmissionQueue::armTimer()
 {
     if (m_timer)
         return;
     m_timer = m_timers.every(TickInterval, [this] {
-        giveUpExpired();
+        refuseExpired();
         capacityChanged();
         if (m_waiters.isEmpty())
             m_timer.reset();
--- a/src/admission/AdmissionQueue.h
+++ b/src/admission/AdmissionQueue.h
@@ -1,4 +1,3 @@
-// Defines AdmissionQueue, through which every request passes on its way to a target.
 #pragma once
 
 #include "admission/AdmissionRequest.h"
@@ -24,15 +23,16 @@
 
 class TargetTable;
 
-/// Places a request at once, lets it wait its fair turn in a bounded queue, or refuses it the
-/// moment it is known that it cannot be served in time. Every refusal says `ran: no`: nothing
-/// was sent.
-/// Thread safety: only from the thread of the timer service. Callbacks run in it, at times
+/// Places a request immediately, queues it under fair sharing in a bounded queue, or refuses it as
+/// soon as it is known that it cannot be answered before its deadline. Every refusal says `ran:
+/// no`, since nothing was sent.
+/// Thread safety: only from the thread of the timer service. Callbacks run in that thread, possibly
 /// inside the call that causes them, and may call any method.
 class AdmissionQueue
 {
 public:
-    /// The target to send to, or why not. Called exactly once unless cancel() comes first.
+    /// Receives the target to send to, or the refusal. Called exactly once unless cancel() is
+    /// called first.
     using Callback = std::function<void(Result<TargetId>)>;
     using RandomSource = std::function<quint64()>;
 
@@ -42,62 +42,65 @@
     AdmissionQueue(const AdmissionQueue &) = delete;
     AdmissionQueue &operator=(const AdmissionQueue &) = delete;
 
-    /// Puts @p configuration in force, for waiting requests too. Does not touch the target
-    /// table. Precondition: not null.
+    /// Applies @p configuration, also to waiting requests. Does not change the target table.
+    /// Precondition: not null.
     void setConfiguration(std::shared_ptr<const Configuration> configuration);
 
-    /// Asks for a target. If one is given, the send is already recorded in the target table
+    /// Requests a target. If one is returned, the send is already recorded in the target table
     /// under @p request.attempt. Unless a first attempt is refused, requestEnded() must follow.
     void enqueue(const AdmissionRequest &request, Callback callback);
 
-    /// The three steps of enqueue(), for whoever decides between them where a request waits.
-    /// Counts a first attempt under its workspace's limits; an Error refuses it.
+    /// The three steps of enqueue(), for a caller that chooses the queue in which a request waits.
+    /// Counts a first attempt against the limits of its workspace. Returns the error if it is
+    /// refused.
     std::optional<Error> admit(const AdmissionRequest &request);
-    /// A target if one has room and nobody waits for it. Precondition: admitted.
-    std::optional<TargetId> tryNow(const AdmissionRequest &request);
-    /// Lets @p request wait its turn, or refuses it. Precondition: admitted.
-    void waitTurn(const AdmissionRequest &request, Callback callback);
+    /// Returns a target if one has capacity and no request is waiting. Precondition: admitted.
+    std::optional<TargetId> placeImmediately(const AdmissionRequest &request);
+    /// Queues @p request, or refuses it through @p callback. Precondition: admitted.
+    void waitOrRefuse(const AdmissionRequest &request, Callback callback);
 
-    /// How long @p request must expect to wait here; 0 while too little is known.
+    /// The expected wait of @p request in this daemon; 0 until enough placements have been seen.
     Milliseconds expectedWaitOf(const AdmissionRequest &request);
 
-    /// When @p request must be sent at the latest to be answered before its deadline, as far as
-    /// is known; a request waits no longer.
+    /// The latest time at which @p request can be sent and still be expected to finish before its
+    /// deadline. A request does not wait longer.
     MonotonicTime latestStart(const AdmissionRequest &request) const;
 
-    /// The refusal of a request whose wait of @p expected is too long for its deadline.
-    Error tooShort(const AdmissionRequest &request, Milliseconds expected) const;
+    /// Logs and returns the refusal of a request whose expected wait @p expected exceeds its
+    /// deadline.
+    Error deadlineTooShortError(const AdmissionRequest &request, Milliseconds expected) const;
 
-    /// Records the send of @p request to @p target, which another daemon granted; @p ended is
+    /// Records the send of @p request to @p target, which another daemon granted. @p ended is
     /// called when the attempt ends.
-    void recordGranted(const AdmissionRequest &request, const TargetId &target,
-                       const std::function<void()> &ended);
+    void recordGrantedAttempt(const AdmissionRequest &request, const TargetId &target,
+                              const std::function<void()> &ended);
 
-    /// Ends what was granted to another daemon for @p request; ignored if unknown.
+    /// Ends the grant made to another daemon for @p request; ignored if unknown.
     void grantEnded(const RequestId &request);
 
-    /// Takes a waiting request out without a callback; ignored if it does not wait.
+    /// Removes a waiting request without calling its callback; ignored if it is not waiting.
     void cancel(const RequestId &request);
 
-    /// Counts one generated token of @p attempt, in the target table too, and charges it to
-    /// the workspace's share.
+    /// Counts one generated token of @p attempt, also in the target table, and charges it to the
+    /// share of the workspace.
     void tokenReceived(const AttemptId &attempt);
 
-    /// Tells the target table that @p attempt ended, and serves who waits.
+    /// Records the end of @p attempt in the target table and tries to place waiting requests.
     void attemptEnded(const AttemptId &attempt, AttemptEnd end);
 
-    /// Ends a request that was admitted, whatever its outcome: frees its place under the
-    /// workspace's limit. Ignored if unknown.
+    /// Ends an admitted request, whatever its outcome, and releases its slot in the workspace's
+    /// limit. Ignored if unknown.
     void requestEnded(const RequestId &request);
 
-    /// Takes one retry from the budget of @p workspace and of @p target, which failed. False
-    /// if either is spent: then the failure is final.
+    /// Takes one retry from the budgets of @p workspace and of @p target, the target that failed.
+    /// Returns false if either budget is exhausted; the failure is then final.
     bool takeRetry(const WorkspaceId &workspace, const TargetId &target);
 
-    /// Serves who waits; to be called after load reports, and when targets come or go.
+    /// Tries to place waiting requests. To be called after load reports and when targets are added
+    /// or removed.
     void capacityChanged();
 
-    /// Requests that wait, over all services.
+    /// Number of waiting requests of all services.
     int waiting() const;
 
 private:
@@ -117,19 +120,20 @@
     const ServiceConfiguration *service(const ServiceId &id) const;
     double weight(const WorkspaceId &workspace) const;
     Lane &laneOf(const AdmissionRequest &request);
-    void countWaiting(Lane &lane, const WorkspaceId &workspace);
+    void updateWaitEstimates(Lane &lane, const WorkspaceId &workspace);
     std::optional<Error> refusal(const AdmissionRequest &request);
-    void wait(const AdmissionRequest &request, Callback callback);
-    bool makeRoom(const AdmissionRequest &request, int queueLimit);
+    void addWaiter(const AdmissionRequest &request, Callback callback);
+    bool evictForRequest(const AdmissionRequest &request, int queueLimit);
     int waitingIn(const ServiceId &service) const;
     Placement tryPlace(const AdmissionRequest &request, bool preferredOnly);
-    void placed(const AdmissionRequest &request, const Placement &placement, Lane &lane,
-                Milliseconds waited);
-    void serve(const LaneKey &key);
-    bool serveOne(const LaneKey &key);
-    bool serveFirstOf(const LaneKey &key, const QList<AdmissionRequest> &order, bool preferredOnly);
-    void giveUpExpired();
-    void finish(const RequestId &request, Result<TargetId> outcome);
+    void commitPlacement(const AdmissionRequest &request, const Placement &placement, Lane &lane,
+                         Milliseconds waited);
+    void serveLane(const LaneKey &key);
+    bool serveNext(const LaneKey &key);
+    bool servePlaceable(const LaneKey &key, const QList<AdmissionRequest> &order,
+                        bool preferredOnly);
+    void refuseExpired();
+    void completeWaiter(const RequestId &request, Result<TargetId> outcome);
     void armTimer();
 
     TimerService &m_timers;
@@ -140,13 +144,13 @@
     QHash<ServiceId, ServiceShares> m_shares;
     QHash<RequestId, Waiter> m_waiters;
     QHash<AttemptId, Charge> m_charges;
-    /// What to call when a send ends that another daemon granted.
-    QHash<AttemptId, std::function<void()>> m_granted;
+    /// Callbacks for the ends of attempts that another daemon granted.
+    QHash<AttemptId, std::function<void()>> m_grantEndCallbacks;
     WorkspaceLimiter m_limiter;
     RetryBudget m_retries;
     std::unique_ptr<TimerSubscription> m_timer;
     bool m_serving = false;
-    bool m_serveAgain = false;
+    bool m_serveRequested = false;
 };
 
 } // namespace cranberry
--- a/src/admission/AdmissionRefusal.cpp
+++ b/src/admission/AdmissionRefusal.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int LeastRetryAfterSeconds = 1;
-constexpr int MostRetryAfterSeconds = 60;
+constexpr int MinRetryAfterSeconds = 1;
+constexpr int MaxRetryAfterSeconds = 60;
 
 } // namespace
 
@@ -26,7 +26,7 @@
 int retryAfterSeconds(Milliseconds wait)
 {
     const double seconds = std::chrono::duration<double>(wait).count();
-    return std::clamp(int(std::ceil(seconds)), LeastRetryAfterSeconds, MostRetryAfterSeconds);
+    return std::clamp(int(std::ceil(seconds)), MinRetryAfterSeconds, MaxRetryAfterSeconds);
 }
 
 void logRefusal(const PlacementRequest &request, const Error &error)
--- a/src/admission/AdmissionRefusal.h
+++ b/src/admission/AdmissionRefusal.h
@@ -1,4 +1,3 @@
-// Defines what an admission queue says and logs when it refuses a request.
 #pragma once
 
 #include "base/Error.h"
@@ -10,15 +9,14 @@
 
 struct PlacementRequest;
 
-/// A refusal of @p kind; @p detail is a sentence for the caller. Thread-safe.
+/// Returns an error of @p kind; @p detail is a sentence for the caller. Thread-safe.
 Error admissionError(ErrorKind kind, const QString &detail);
 
-/// Whole seconds after which a caller that would have to wait for @p wait should come back, from 1
-/// to
-/// 60. Thread-safe.
+/// The Retry-After value in seconds, from 1 to 60, for a caller that would have to wait for @p
+/// wait. Thread-safe.
 int retryAfterSeconds(Milliseconds wait);
 
-/// Writes the log line of a refusal. Thread-safe.
+/// Logs a refusal. Thread-safe.
 void logRefusal(const PlacementRequest &request, const Error &error);
 
 } // namespace cranberry
--- a/src/admission/AdmissionRequest.h
+++ b/src/admission/AdmissionRequest.h
@@ -1,21 +1,22 @@
-// Defines AdmissionRequest, what a request asks of the admission queue.
 #pragma once
 
 #include "placement/PlacementRequest.h"
 
 namespace cranberry {
 
+/// The input of the admission queue for one request.
 struct AdmissionRequest {
     PlacementRequest placement;
-    /// The send that is made if a target is found; never used before.
+    /// The attempt recorded if a target is found; must be new.
     AttemptId attempt;
-    /// When the caller gives up.
+    /// The time at which the caller gives up.
     MonotonicTime deadline;
-    /// Larger first among the requests of one workspace.
+    /// Requests of one workspace are ordered by descending priority.
     int priority = 0;
-    /// A further attempt of a request that was admitted before: it passes the limits.
+    /// True for a further attempt of an admitted request, which is not subject to the workspace
+    /// limits.
     bool retry = false;
-    /// Another daemon asks for room and will make the send.
+    /// True if another daemon requests the capacity and makes the send.
     bool remote = false;
 };
 
--- a/src/admission/CreditExchange.cpp
+++ b/src/admission/CreditExchange.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// A home answers within a few milliseconds or is not worth waiting for.
+/// A home daemon normally answers within a few milliseconds; a slower one is not waited for.
 constexpr Milliseconds TryTimeout{100};
-/// Beyond the deadline, so that the home's own refusal arrives first.
-constexpr Milliseconds WaitSlack{500};
+/// Added to the deadline, so that a refusal by the home daemon arrives before the timeout.
+constexpr Milliseconds WaitTimeoutMargin{500};
 
 Milliseconds timeLeft(const AdmissionRequest &request, MonotonicTime now)
 {
@@ -33,34 +33,37 @@
     , m_network(network)
     , m_queue(queue)
 {
-    m_network.subscribe(PeerMessageKind::CreditRequest,
-                        [this](const VmId &from, const QCborMap &body) { asked(from, body); });
+    m_network.subscribe(
+        PeerMessageKind::CreditRequest,
+        [this](const VmId &from, const QCborMap &body) { handleRequest(from, body); });
     m_network.subscribe(PeerMessageKind::CreditAnswer,
-                        [this](const VmId &, const QCborMap &body) { answered(body); });
+                        [this](const VmId &, const QCborMap &body) { handleAnswer(body); });
 }
 
 CreditExchange::~CreditExchange() = default;
 
-quint64 CreditExchange::ask(const VmId &home, CreditRequestKind kind,
-                            const AdmissionRequest &request, Callback callback)
+quint64 CreditExchange::requestCredit(const VmId &home, CreditRequestKind kind,
+                                      const AdmissionRequest &request, Callback callback)
 {
-    const quint64 ask = ++m_lastAsk;
+    const quint64 exchangeId = ++m_lastExchangeId;
     const Milliseconds left = timeLeft(request, m_timers.now());
     auto pending = std::make_shared<Pending>();
     pending->home = home;
     pending->request = request;
     pending->callback = std::move(callback);
     const bool sent = m_network.send(home, PeerMessageKind::CreditRequest,
-                                     toCbor(CreditRequest{ask, kind, request, left}));
-    const Milliseconds limit = kind == CreditRequestKind::Try ? TryTimeout : left + WaitSlack;
-    pending->timeout = m_timers.after(sent ? limit : Milliseconds(0), [this, ask] { lost(ask); });
-    m_pending.insert(ask, pending);
-    return ask;
+                                     toCbor(CreditRequest{exchangeId, kind, request, left}));
+    const Milliseconds limit =
+        kind == CreditRequestKind::Try ? TryTimeout : left + WaitTimeoutMargin;
+    pending->timeout = m_timers.after(sent ? limit : Milliseconds(0),
+                                      [this, exchangeId] { handleTimeout(exchangeId); });
+    m_pending.insert(exchangeId, pending);
+    return exchangeId;
 }
 
-void CreditExchange::cancel(quint64 ask)
+void CreditExchange::cancel(quint64 exchangeId)
 {
-    const std::shared_ptr<Pending> pending = m_pending.take(ask);
+    const std::shared_ptr<Pending> pending = m_pending.take(exchangeId);
     if (!pending)
         return;
     release(pending->home, pending->request);
@@ -72,29 +75,29 @@
                    toCbor(CreditRequest{0, CreditRequestKind::Done, request, Milliseconds(0)}));
 }
 
-void CreditExchange::lost(quint64 ask)
+void CreditExchange::handleTimeout(quint64 exchangeId)
 {
-    const std::shared_ptr<Pending> pending = m_pending.take(ask);
+    const std::shared_ptr<Pending> pending = m_pending.take(exchangeId);
     if (!pending)
         return;
-    // The home may have granted it all the same: its answer was lost or comes too late.
+    // The home daemon may have granted the request if its answer was lost or is late.
     release(pending->home, pending->request);
     CreditAnswer answer;
-    answer.ask = ask;
+    answer.exchangeId = exchangeId;
     pending->callback(answer);
 }
 
-void CreditExchange::answered(const QCborMap &body)
+void CreditExchange::handleAnswer(const QCborMap &body)
 {
     const std::optional<CreditAnswer> answer = creditAnswerFromCbor(body);
     if (!answer)
         return;
-    const std::shared_ptr<Pending> pending = m_pending.take(answer->ask);
+    const std::shared_ptr<Pending> pending = m_pending.take(answer->exchangeId);
     if (pending)
         pending->callback(*answer);
 }
 
-void CreditExchange::asked(const VmId &from, const QCborMap &body)
+void CreditExchange::handleRequest(const VmId &from, const QCborMap &body)
 {
     const std::optional<CreditRequest> message = creditRequestFromCbor(body);
     if (!message)
@@ -107,38 +110,39 @@
     }
     request.deadline = m_timers.now() + message->timeLeft;
     CreditAnswer reply;
-    reply.ask = message->ask;
+    reply.exchangeId = message->exchangeId;
     if (m_queue.admit(request)) {
         reply.outcome = CreditOutcome::NotServed;
-        answer(from, reply);
+        sendAnswer(from, reply);
         return;
     }
-    if (const std::optional<TargetId> target = m_queue.tryNow(request)) {
+    if (const std::optional<TargetId> target = m_queue.placeImmediately(request)) {
         reply.outcome = CreditOutcome::Granted;
         reply.target = *target;
-        answer(from, reply);
+        sendAnswer(from, reply);
         return;
     }
     if (message->kind == CreditRequestKind::Try) {
         reply.outcome = CreditOutcome::Full;
         reply.expectedWait = m_queue.expectedWaitOf(request);
-        answer(from, reply);
+        sendAnswer(from, reply);
         return;
     }
     const std::weak_ptr<bool> alive = m_alive;
-    m_queue.waitTurn(request, [this, alive, from, reply](const Result<TargetId> &result) mutable {
-        if (alive.expired())
-            return;
-        reply.outcome = result.has_value() ? CreditOutcome::Granted : CreditOutcome::Refused;
-        if (result.has_value())
-            reply.target = result.value();
-        else
-            reply.error = result.error();
-        answer(from, reply);
-    });
+    m_queue.waitOrRefuse(
+        request, [this, alive, from, reply](const Result<TargetId> &result) mutable {
+            if (alive.expired())
+                return;
+            reply.outcome = result.has_value() ? CreditOutcome::Granted : CreditOutcome::Refused;
+            if (result.has_value())
+                reply.target = result.value();
+            else
+                reply.error = result.error();
+            sendAnswer(from, reply);
+        });
 }
 
-void CreditExchange::answer(const VmId &to, const CreditAnswer &answer)
+void CreditExchange::sendAnswer(const VmId &to, const CreditAnswer &answer)
 {
     m_network.send(to, PeerMessageKind::CreditAnswer, toCbor(answer));
 }
--- a/src/admission/CreditExchange.h
+++ b/src/admission/CreditExchange.h
@@ -1,4 +1,3 @@
-// Defines CreditExchange, which asks other daemons for room on their targets and answers them.
 #pragma once
 
 #include "admission/CreditMessages.h"
@@ -14,46 +13,49 @@
 class AdmissionQueue;
 class PeerNetwork;
 
-/// A lost message costs time, never correctness: an ask that gets no answer is reported Lost,
-/// and room that was granted in vain is free again with the next load report.
+/// Requests capacity from the home daemons of targets and answers such requests. Lost messages
+/// cause delay but no incorrect results: an exchange without an answer is reported as Lost, and
+/// unused grants are released with the next load report.
 /// Thread safety: only from the thread of the timer service.
 class CreditExchange
 {
 public:
     using Callback = std::function<void(const CreditAnswer &)>;
 
-    /// Subscribes to CreditRequest and CreditAnswer.
-    /// Precondition: all three outlive the exchange.
+    /// Subscribes to CreditRequest and CreditAnswer messages.
+    /// Precondition: @p timers, @p network and @p queue outlive the exchange.
     CreditExchange(TimerService &timers, PeerNetwork &network, AdmissionQueue &queue);
     ~CreditExchange();
     CreditExchange(const CreditExchange &) = delete;
     CreditExchange &operator=(const CreditExchange &) = delete;
 
-    /// Asks @p home and returns the number of the ask. @p callback is called exactly once,
-    /// later, unless cancel() comes first. Precondition: @p kind is Try or Wait.
-    quint64 ask(const VmId &home, CreditRequestKind kind, const AdmissionRequest &request,
-                Callback callback);
+    /// Sends a credit request to @p home and returns the id of the exchange. @p callback is called
+    /// exactly once, after this call returns, unless cancel() is called first. Precondition: @p
+    /// kind is Try or Wait.
+    quint64 requestCredit(const VmId &home, CreditRequestKind kind, const AdmissionRequest &request,
+                          Callback callback);
 
-    /// Ends @p ask without a callback and tells the home; ignored if unknown.
-    void cancel(quint64 ask);
+    /// Ends the exchange without calling its callback and notifies the home daemon; ignored if
+    /// unknown.
+    void cancel(quint64 exchangeId);
 
-    /// Tells @p home that the send of @p request, which it granted, has ended.
+    /// Notifies @p home that the send of @p request, which it granted, has ended.
     void release(const VmId &home, const AdmissionRequest &request);
 
 private:
     struct Pending;
 
-    void answered(const QCborMap &body);
-    void asked(const VmId &from, const QCborMap &body);
-    void answer(const VmId &to, const CreditAnswer &answer);
-    void lost(quint64 ask);
+    void handleAnswer(const QCborMap &body);
+    void handleRequest(const VmId &from, const QCborMap &body);
+    void sendAnswer(const VmId &to, const CreditAnswer &answer);
+    void handleTimeout(quint64 exchangeId);
 
     TimerService &m_timers;
     PeerNetwork &m_network;
     AdmissionQueue &m_queue;
     QHash<quint64, std::shared_ptr<Pending>> m_pending;
-    quint64 m_lastAsk = 0;
-    /// Callbacks of the queue may outlive the exchange; they hold this weakly.
+    quint64 m_lastExchangeId = 0;
+    /// Callbacks of the queue may outlive this object; they hold a weak pointer to this flag.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/admission/CreditMessages.cpp
+++ b/src/admission/CreditMessages.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr int LongestId = 256;
-constexpr int MostExcluded = 16;
+constexpr int MaxTextLength = 256;
+constexpr int MaxExcludedTargets = 16;
 
-/// Keys on the wire; a number is never given to another field.
+/// Keys of the encoding; a number must not be reused for another field.
 enum Key : qint64 {
-    Ask = 1,
+    ExchangeId = 1,
     Kind = 2,
     TimeLeft = 3,
     Request = 4,
@@ -34,34 +34,34 @@
     RetryAfter = 20,
 };
 
-/// Reads fields and remembers whether all were as they have to be.
-class Reader
+/// Reads fields and records whether all of them were valid.
+class MessageReader
 {
 public:
-    explicit Reader(const QCborMap &body)
+    explicit MessageReader(const QCborMap &body)
         : m_body(body)
     {
     }
 
-    qint64 number(Key key, qint64 least, qint64 most)
+    qint64 number(Key key, qint64 min, qint64 max)
     {
         const QCborValue value = m_body.value(qint64(key));
-        const qint64 read = value.toInteger(least);
-        m_valid = m_valid && value.isInteger() && read >= least && read <= most;
+        const qint64 read = value.toInteger(min);
+        m_valid = m_valid && value.isInteger() && read >= min && read <= max;
         return read;
     }
     QString text(Key key)
     {
         const QCborValue value = m_body.value(qint64(key));
-        m_valid = m_valid && value.isString() && value.toString().size() <= LongestId;
+        m_valid = m_valid && value.isString() && value.toString().size() <= MaxTextLength;
         return value.toString();
     }
-    /// Texts that are left out when empty.
+    /// Reads a text that is omitted when empty.
     QString optionalText(Key key) { return m_body.contains(qint64(key)) ? text(key) : QString(); }
     QSet<TargetId> targets(Key key)
     {
         const QCborArray array = m_body.value(qint64(key)).toArray();
-        m_valid = m_valid && array.size() <= MostExcluded;
+        m_valid = m_valid && array.size() <= MaxExcludedTargets;
         QSet<TargetId> read;
         for (const auto &value : array)
             read.insert(TargetId(value.toString()));
@@ -74,10 +74,10 @@
     bool m_valid = true;
 };
 
-constexpr qint64 Most = std::numeric_limits<qint64>::max();
-constexpr qint64 MostTokens = 1LL << 40;
-constexpr qint64 MostPriority = 1'000'000;
-constexpr qint64 MostMilliseconds = 1LL << 40;
+constexpr qint64 MaxInteger = std::numeric_limits<qint64>::max();
+constexpr qint64 MaxTokenCount = 1LL << 40;
+constexpr qint64 MaxPriority = 1'000'000;
+constexpr qint64 MaxMilliseconds = 1LL << 40;
 
 void putText(QCborMap &body, Key key, const QString &text)
 {
@@ -91,7 +91,7 @@
 {
     const PlacementRequest &placement = request.request.placement;
     QCborMap body;
-    body.insert(qint64(Ask), qint64(request.ask));
+    body.insert(qint64(ExchangeId), qint64(request.exchangeId));
     body.insert(qint64(Kind), qint64(request.kind));
     body.insert(qint64(Request), placement.request.text());
     if (request.kind == CreditRequestKind::Done)
@@ -107,7 +107,7 @@
     body.insert(qint64(Priority), request.request.priority);
     QCborArray excluded;
     for (const TargetId &target : placement.excluded) {
-        if (excluded.size() < MostExcluded)
+        if (excluded.size() < MaxExcludedTargets)
             excluded.append(target.text());
     }
     if (!excluded.isEmpty())
@@ -117,26 +117,26 @@
 
 std::optional<CreditRequest> creditRequestFromCbor(const QCborMap &body)
 {
-    Reader reader(body);
+    MessageReader reader(body);
     CreditRequest request;
     PlacementRequest &placement = request.request.placement;
-    request.ask = quint64(reader.number(Ask, 0, Most));
+    request.exchangeId = quint64(reader.number(ExchangeId, 0, MaxInteger));
     request.kind = CreditRequestKind(
         reader.number(Kind, qint64(CreditRequestKind::Try), qint64(CreditRequestKind::Done)));
     placement.request = RequestId(reader.text(Request));
     request.request.remote = true;
     if (request.kind == CreditRequestKind::Done)
         return reader.valid() ? std::optional(request) : std::nullopt;
-    request.timeLeft = Milliseconds(reader.number(TimeLeft, 0, MostMilliseconds));
+    request.timeLeft = Milliseconds(reader.number(TimeLeft, 0, MaxMilliseconds));
     placement.service = ServiceId(reader.text(Service));
     placement.model = ModelId(reader.optionalText(Model));
     placement.workspace = WorkspaceId(reader.optionalText(Workspace));
     placement.dataCentre = DataCentreId(reader.optionalText(DataCentre));
-    placement.promptTokens = Tokens(reader.number(PromptTokens, 0, MostTokens));
-    placement.maxTokens = Tokens(reader.number(MaxTokens, 0, MostTokens));
-    placement.prefixHash = quint64(reader.number(PrefixHash, -Most - 1, Most));
+    placement.promptTokens = Tokens(reader.number(PromptTokens, 0, MaxTokenCount));
+    placement.maxTokens = Tokens(reader.number(MaxTokens, 0, MaxTokenCount));
+    placement.prefixHash = quint64(reader.number(PrefixHash, -MaxInteger - 1, MaxInteger));
     placement.excluded = reader.targets(Excluded);
-    request.request.priority = int(reader.number(Priority, -MostPriority, MostPriority));
+    request.request.priority = int(reader.number(Priority, -MaxPriority, MaxPriority));
     if (!reader.valid())
         return std::nullopt;
     return request;
@@ -145,7 +145,7 @@
 QCborMap toCbor(const CreditAnswer &answer)
 {
     QCborMap body;
-    body.insert(qint64(Ask), qint64(answer.ask));
+    body.insert(qint64(ExchangeId), qint64(answer.exchangeId));
     body.insert(qint64(Outcome), qint64(answer.outcome));
     putText(body, Target, answer.target.text());
     if (answer.outcome == CreditOutcome::Full)
@@ -153,7 +153,7 @@
     if (answer.outcome != CreditOutcome::Refused)
         return body;
     body.insert(qint64(ErrorName), QString::fromLatin1(errorAnswer(answer.error.kind).name));
-    putText(body, ErrorDetail, answer.error.detail.left(LongestId));
+    putText(body, ErrorDetail, answer.error.detail.left(MaxTextLength));
     if (answer.error.retryAfterSeconds)
         body.insert(qint64(RetryAfter), *answer.error.retryAfterSeconds);
     return body;
@@ -161,21 +161,21 @@
 
 std::optional<CreditAnswer> creditAnswerFromCbor(const QCborMap &body)
 {
-    Reader reader(body);
+    MessageReader reader(body);
     CreditAnswer answer;
-    answer.ask = quint64(reader.number(Ask, 0, Most));
+    answer.exchangeId = quint64(reader.number(ExchangeId, 0, MaxInteger));
     answer.outcome = CreditOutcome(
         reader.number(Outcome, qint64(CreditOutcome::Granted), qint64(CreditOutcome::NotServed)));
     if (answer.outcome == CreditOutcome::Granted)
         answer.target = TargetId(reader.text(Target));
     if (answer.outcome == CreditOutcome::Full)
-        answer.expectedWait = Milliseconds(reader.number(ExpectedWait, 0, MostMilliseconds));
+        answer.expectedWait = Milliseconds(reader.number(ExpectedWait, 0, MaxMilliseconds));
     if (answer.outcome == CreditOutcome::Refused) {
         const std::optional<ErrorKind> kind = errorKindFromName(reader.text(ErrorName).toLatin1());
         answer.error.kind = kind.value_or(ErrorKind::Internal);
         answer.error.detail = reader.optionalText(ErrorDetail);
         if (body.contains(qint64(RetryAfter)))
-            answer.error.retryAfterSeconds = int(reader.number(RetryAfter, 0, MostPriority));
+            answer.error.retryAfterSeconds = int(reader.number(RetryAfter, 0, MaxPriority));
     }
     if (!reader.valid())
         return std::nullopt;
--- a/src/admission/CreditMessages.h
+++ b/src/admission/CreditMessages.h
@@ -1,4 +1,3 @@
-// Defines the messages by which a daemon asks a target's home for room.
 #pragma once
 
 #include "admission/AdmissionRequest.h"
@@ -11,52 +10,53 @@
 namespace cranberry {
 
 enum class CreditRequestKind {
-    /// Room now or not at all.
+    /// Grant capacity immediately or answer Full.
     Try = 1,
-    /// A turn in the home's queue.
+    /// Wait in the queue of the home daemon.
     Wait = 2,
-    /// The one who asked no longer needs a turn, or what was granted has ended.
+    /// The requester no longer waits, or the granted send has ended.
     Done = 3,
 };
 
+/// The message with which a daemon requests capacity from a target's home daemon.
 struct CreditRequest {
-    /// Chosen by whoever asks; tells answers apart.
-    quint64 ask = 0;
+    /// Chosen by the requester; matches an answer to its request.
+    quint64 exchangeId = 0;
     CreditRequestKind kind = CreditRequestKind::Try;
-    /// Its deadline is not sent: clocks of two VMs cannot be compared.
+    /// The deadline is not sent, because the clocks of two VMs are not comparable.
     AdmissionRequest request;
-    /// Time left until the deadline at the moment of sending.
+    /// Time until the deadline at the time of sending.
     Milliseconds timeLeft{0};
 };
 
 enum class CreditOutcome {
     Granted = 1,
-    /// No room now.
+    /// No capacity now.
     Full = 2,
-    /// It will not get a turn.
+    /// The request was refused and does not wait.
     Refused = 3,
-    /// The home does not know the service or model yet.
+    /// The home daemon does not have the service or model in its configuration yet.
     NotServed = 4,
-    /// No answer came; never sent.
+    /// No answer arrived; never sent as a message.
     Lost = 5,
 };
 
 struct CreditAnswer {
-    quint64 ask = 0;
+    quint64 exchangeId = 0;
     CreditOutcome outcome = CreditOutcome::Lost;
     /// Set if Granted.
     TargetId target;
-    /// Set if Full: how long a turn in the home's queue would take.
+    /// Set if Full: the expected wait in the home daemon's queue.
     Milliseconds expectedWait{0};
-    /// Set if Refused. Its `ran` is always No: nothing was sent to a target.
+    /// Set if Refused. Its `ran` is always No, since nothing was sent to a target.
     Error error;
 };
 
-/// Thread-safe, as all of these.
+/// All functions below are thread-safe.
 QCborMap toCbor(const CreditRequest &request);
 QCborMap toCbor(const CreditAnswer &answer);
 
-/// Absent if @p body is not a well-formed message within bounds.
+/// Empty if @p body is malformed or a field is out of range.
 std::optional<CreditRequest> creditRequestFromCbor(const QCborMap &body);
 std::optional<CreditAnswer> creditAnswerFromCbor(const QCborMap &body);
 
--- a/src/admission/PlacementRouter.cpp
+++ b/src/admission/PlacementRouter.cpp
@@ -14,13 +14,14 @@
 namespace {
 
 constexpr Milliseconds TickInterval{100};
-/// Homes that are asked before a request waits: the best looking and one other.
-constexpr qsizetype HomesTried = 2;
+/// Maximum number of home daemons tried before a request waits: the best one and one other.
+constexpr qsizetype MaxHomesTried = 2;
 
-/// A target that restarts is back within this time more often than not.
-constexpr Milliseconds NoneUsableGrace{5000};
+/// Time after which a request without a usable target is refused; most target restarts complete
+/// within it.
+constexpr Milliseconds NoUsableTargetTimeout{5000};
 
-Error errorOf(ErrorKind kind, const QString &detail)
+Error makeError(ErrorKind kind, const QString &detail)
 {
     Error error;
     error.kind = kind;
@@ -33,17 +34,17 @@
 struct PlacementRouter::Route {
     AdmissionRequest request;
     Callback callback;
-    QList<VmId> tried;
-    /// Expected wait at each home tried.
-    QList<Milliseconds> waits;
-    /// The ask under way; 0 if none.
-    quint64 ask = 0;
-    /// The other daemon in whose queue it waits.
-    VmId waitsAt;
-    /// Homes that were asked and did not answer.
-    QList<VmId> silent;
-    /// Since when no home has answered, or none was found.
-    std::optional<MonotonicTime> unansweredSince;
+    QList<VmId> triedHomes;
+    /// Expected wait at each of triedHomes.
+    QList<Milliseconds> expectedWaits;
+    /// The credit exchange in progress; 0 if none.
+    quint64 exchangeId = 0;
+    /// The remote home daemon in whose queue the request waits; empty if none.
+    VmId waitingAt;
+    /// Home daemons that gave no usable answer.
+    QList<VmId> unresponsiveHomes;
+    /// Time since which no home daemon has answered or been found.
+    std::optional<MonotonicTime> noHomeSince;
 };
 
 PlacementRouter::PlacementRouter(TimerService &timers, TargetTable &targets, AdmissionQueue &queue,
@@ -59,7 +60,7 @@
     , m_self(members.self())
 {
     refreshMembers();
-    m_timer = m_timers.every(TickInterval, [this] { tick(); });
+    m_timer = m_timers.every(TickInterval, [this] { handleTick(); });
 }
 
 PlacementRouter::~PlacementRouter() = default;
@@ -75,21 +76,21 @@
     QList<VmId> live;
     for (const Member &member : m_members.liveMembers())
         live.append(member.vm);
-    if (live == m_live)
+    if (live == m_liveVms)
         return;
-    m_live = live;
-    m_targets.setMembers(m_self, m_live);
+    m_liveVms = live;
+    m_targets.setMembers(m_self, m_liveVms);
 }
 
-bool PlacementRouter::hasHomes(const AdmissionRequest &request) const
+bool PlacementRouter::hasHomeDaemons(const AdmissionRequest &request) const
 {
     const auto found = m_configuration->services.constFind(request.placement.service);
-    return found != m_configuration->services.constEnd() && givenOutByHomes(*found);
+    return found != m_configuration->services.constEnd() && usesHomeDaemons(*found);
 }
 
 void PlacementRouter::enqueue(const AdmissionRequest &request, Callback callback)
 {
-    if (!hasHomes(request)) {
+    if (!hasHomeDaemons(request)) {
         m_queue.enqueue(request, std::move(callback));
         return;
     }
@@ -107,8 +108,8 @@
 void PlacementRouter::cancel(const RequestId &request)
 {
     const std::shared_ptr<Route> route = m_routes.take(request);
-    if (route && route->ask != 0)
-        m_exchange.cancel(route->ask);
+    if (route && route->exchangeId != 0)
+        m_exchange.cancel(route->exchangeId);
     m_queue.cancel(request);
     if (route)
         m_queue.requestEnded(request);
@@ -121,130 +122,136 @@
         return;
     const PlacementRequest &placement = route->request.placement;
     VmId home;
-    if (route->tried.size() < HomesTried) {
+    if (route->triedHomes.size() < MaxHomesTried) {
         const ServiceConfiguration service = m_configuration->services.value(placement.service);
-        home = m_targets.suggestHome(placement, service, route->tried + route->silent,
-                                     m_timers.now(), m_random());
+        home =
+            m_targets.suggestHome(placement, service, route->triedHomes + route->unresponsiveHomes,
+                                  m_timers.now(), m_random());
     }
     if (!home.isEmpty()) {
         if (home == m_self)
-            tryOwn(request);
+            tryLocalHome(request);
         else
-            tryOther(request, home);
-    } else if (!route->tried.isEmpty()) {
-        route->unansweredSince.reset();
-        waitWhereShortest(request);
-    } else if (!route->unansweredSince) {
-        route->unansweredSince = m_timers.now();
+            tryRemoteHome(request, home);
+    } else if (!route->triedHomes.isEmpty()) {
+        route->noHomeSince.reset();
+        waitAtShortestQueue(request);
+    } else if (!route->noHomeSince) {
+        route->noHomeSince = m_timers.now();
     }
 }
 
-void PlacementRouter::tryOwn(const RequestId &request)
+void PlacementRouter::tryLocalHome(const RequestId &request)
 {
     const std::shared_ptr<Route> route = m_routes.value(request);
-    if (const std::optional<TargetId> target = m_queue.tryNow(route->request)) {
-        finish(request, *target);
+    if (const std::optional<TargetId> target = m_queue.placeImmediately(route->request)) {
+        completeRoute(request, *target);
         return;
     }
-    route->tried.append(m_self);
-    route->waits.append(m_queue.expectedWaitOf(route->request));
+    route->triedHomes.append(m_self);
+    route->expectedWaits.append(m_queue.expectedWaitOf(route->request));
     advance(request);
 }
 
-void PlacementRouter::tryOther(const RequestId &request, const VmId &home)
+void PlacementRouter::tryRemoteHome(const RequestId &request, const VmId &home)
 {
     const std::shared_ptr<Route> route = m_routes.value(request);
-    route->ask = m_exchange.ask(home, CreditRequestKind::Try, route->request,
-                                [this, request, home](const CreditAnswer &answer) {
-                                    const std::shared_ptr<Route> waiting = m_routes.value(request);
-                                    if (!waiting)
-                                        return;
-                                    waiting->ask = 0;
-                                    if (answer.outcome == CreditOutcome::Granted) {
-                                        granted(request, home, answer.target);
-                                        return;
-                                    }
-                                    if (answer.outcome == CreditOutcome::Full) {
-                                        waiting->tried.append(home);
-                                        waiting->waits.append(answer.expectedWait);
-                                    } else {
-                                        waiting->silent.append(home);
-                                    }
-                                    advance(request);
-                                });
+    route->exchangeId =
+        m_exchange.requestCredit(home, CreditRequestKind::Try, route->request,
+                                 [this, request, home](const CreditAnswer &answer) {
+                                     const std::shared_ptr<Route> current = m_routes.value(request);
+                                     if (!current)
+                                         return;
+                                     current->exchangeId = 0;
+                                     if (answer.outcome == CreditOutcome::Granted) {
+                                         handleGrant(request, home, answer.target);
+                                         return;
+                                     }
+                                     if (answer.outcome == CreditOutcome::Full) {
+                                         current->triedHomes.append(home);
+                                         current->expectedWaits.append(answer.expectedWait);
+                                     } else {
+                                         current->unresponsiveHomes.append(home);
+                                     }
+                                     advance(request);
+                                 });
 }
 
-void PlacementRouter::waitWhereShortest(const RequestId &request)
+void PlacementRouter::waitAtShortestQueue(const RequestId &request)
 {
     const std::shared_ptr<Route> route = m_routes.value(request);
-    const auto shortest = std::min_element(route->waits.begin(), route->waits.end());
-    const VmId home = route->tried.at(shortest - route->waits.begin());
+    const auto shortest =
+        std::min_element(route->expectedWaits.begin(), route->expectedWaits.end());
+    const VmId home = route->triedHomes.at(shortest - route->expectedWaits.begin());
     if (home != m_self) {
-        waitAtOther(request, home, *shortest);
+        waitAtRemoteHome(request, home, *shortest);
         return;
     }
-    m_queue.waitTurn(route->request, [this, request](Result<TargetId> outcome) {
-        finish(request, std::move(outcome));
+    m_queue.waitOrRefuse(route->request, [this, request](Result<TargetId> outcome) {
+        completeRoute(request, std::move(outcome));
     });
 }
 
-void PlacementRouter::waitAtOther(const RequestId &request, const VmId &home, Milliseconds expected)
+void PlacementRouter::waitAtRemoteHome(const RequestId &request, const VmId &home,
+                                       Milliseconds expected)
 {
     const std::shared_ptr<Route> route = m_routes.value(request);
     if (m_timers.now() + expected >= m_queue.latestStart(route->request)) {
         m_queue.requestEnded(request);
-        finish(request, m_queue.tooShort(route->request, expected));
+        completeRoute(request, m_queue.deadlineTooShortError(route->request, expected));
         return;
     }
-    route->waitsAt = home;
-    route->ask = m_exchange.ask(home, CreditRequestKind::Wait, route->request,
-                                [this, request, home](const CreditAnswer &answer) {
-                                    const std::shared_ptr<Route> waiting = m_routes.value(request);
-                                    if (!waiting)
-                                        return;
-                                    waiting->ask = 0;
-                                    waiting->waitsAt = VmId();
-                                    if (answer.outcome == CreditOutcome::Granted) {
-                                        granted(request, home, answer.target);
-                                    } else if (answer.outcome == CreditOutcome::Refused) {
-                                        m_queue.requestEnded(request);
-                                        finish(request, answer.error);
-                                    } else {
-                                        startAnew(request);
-                                    }
-                                });
+    route->waitingAt = home;
+    route->exchangeId =
+        m_exchange.requestCredit(home, CreditRequestKind::Wait, route->request,
+                                 [this, request, home](const CreditAnswer &answer) {
+                                     const std::shared_ptr<Route> current = m_routes.value(request);
+                                     if (!current)
+                                         return;
+                                     current->exchangeId = 0;
+                                     current->waitingAt = VmId();
+                                     if (answer.outcome == CreditOutcome::Granted) {
+                                         handleGrant(request, home, answer.target);
+                                     } else if (answer.outcome == CreditOutcome::Refused) {
+                                         m_queue.requestEnded(request);
+                                         completeRoute(request, answer.error);
+                                     } else {
+                                         restartRoute(request);
+                                     }
+                                 });
 }
 
-void PlacementRouter::startAnew(const RequestId &request)
+void PlacementRouter::restartRoute(const RequestId &request)
 {
     const std::shared_ptr<Route> route = m_routes.value(request);
-    route->ask = 0;
-    route->waitsAt = VmId();
-    route->tried.clear();
-    route->waits.clear();
-    route->silent.clear();
+    route->exchangeId = 0;
+    route->waitingAt = VmId();
+    route->triedHomes.clear();
+    route->expectedWaits.clear();
+    route->unresponsiveHomes.clear();
     advance(request);
 }
 
-void PlacementRouter::granted(const RequestId &request, const VmId &home, const TargetId &target)
+void PlacementRouter::handleGrant(const RequestId &request, const VmId &home,
+                                  const TargetId &target)
 {
     const std::shared_ptr<Route> route = m_routes.value(request);
-    m_queue.recordGranted(
+    m_queue.recordGrantedAttempt(
         route->request, target,
         [exchange = &m_exchange, home, sent = route->request] { exchange->release(home, sent); });
-    finish(request, target);
+    completeRoute(request, target);
 }
 
-void PlacementRouter::finish(const RequestId &request, Result<TargetId> outcome)
+void PlacementRouter::completeRoute(const RequestId &request, Result<TargetId> outcome)
 {
     const std::shared_ptr<Route> route = m_routes.take(request);
     if (route)
         route->callback(std::move(outcome));
 }
 
-// A home that died with requests in its queue answers none of them; they are routed anew as
-// soon as the member view shows it, instead of at their deadlines.
-void PlacementRouter::tick()
+// A failed home daemon answers none of the requests in its queue. They are routed again as soon as
+// the member view shows the failure, instead of failing at their deadlines.
+void PlacementRouter::handleTick()
 {
     refreshMembers();
     const MonotonicTime now = m_timers.now();
@@ -253,21 +260,23 @@
         const std::shared_ptr<Route> route = m_routes.value(request);
         if (!route)
             continue;
-        if (!route->waitsAt.isEmpty() && !m_live.contains(route->waitsAt)) {
-            m_exchange.cancel(route->ask);
-            startAnew(request);
-        } else if (route->unansweredSince && now >= route->request.deadline) {
+        if (!route->waitingAt.isEmpty() && !m_liveVms.contains(route->waitingAt)) {
+            m_exchange.cancel(route->exchangeId);
+            restartRoute(request);
+        } else if (route->noHomeSince && now >= route->request.deadline) {
             m_queue.requestEnded(request);
-            finish(request,
-                   errorOf(ErrorKind::DeadlineExceeded,
-                           QStringLiteral("No target came before the deadline.")));
-        } else if (route->unansweredSince && now - *route->unansweredSince >= NoneUsableGrace) {
+            completeRoute(
+                request,
+                makeError(ErrorKind::DeadlineExceeded,
+                          QStringLiteral("No usable target was found before the deadline.")));
+        } else if (route->noHomeSince && now - *route->noHomeSince >= NoUsableTargetTimeout) {
             m_queue.requestEnded(request);
-            finish(request,
-                   errorOf(ErrorKind::NoTarget,
-                           QStringLiteral("No target that serves it is usable.")));
-        } else if (route->unansweredSince && route->ask == 0) {
-            startAnew(request);
+            completeRoute(
+                request,
+                makeError(ErrorKind::NoTarget,
+                          QStringLiteral("No target that serves the request is usable.")));
+        } else if (route->noHomeSince && route->exchangeId == 0) {
+            restartRoute(request);
         }
     }
 }
--- a/src/admission/PlacementRouter.h
+++ b/src/admission/PlacementRouter.h
@@ -1,4 +1,3 @@
-// Defines PlacementRouter, which brings each request to the daemon that gives out the target.
 #pragma once
 
 #include "admission/AdmissionRequest.h"
@@ -20,47 +19,50 @@
 class MemberView;
 class TargetTable;
 
-/// Several daemons that decide on one target by lagging reports all fill the same gap. So each
-/// target's room is given out by one daemon, its home; a request goes to the home whose target
-/// looks best, then to one other, then waits where the wait is shorter. Homes follow from the
-/// member view; where views differ, preemptions are the price.
-/// Thread safety: only from the thread of the timer service. Callbacks as AdmissionQueue's.
+/// Routes each request to the home daemon of a suitable target. If several daemons placed requests
+/// on one target by delayed load reports, all would fill the same free capacity. Each target's
+/// capacity is therefore granted by one daemon, its home. A request is sent to the home of the
+/// target with the best score, then to one other home, and then waits in the queue with the shorter
+/// expected wait. Homes are derived from the member view; if the views of two daemons differ,
+/// targets may preempt requests.
+/// Thread safety: only from the thread of the timer service. Callbacks run as those of
+/// AdmissionQueue.
 class PlacementRouter
 {
 public:
     using Callback = std::function<void(Result<TargetId>)>;
     using RandomSource = std::function<quint64()>;
 
-    /// Precondition: everything given outlives the router.
+    /// Precondition: all arguments outlive the router.
     PlacementRouter(TimerService &timers, TargetTable &targets, AdmissionQueue &queue,
                     CreditExchange &exchange, const MemberView &members, RandomSource random);
     ~PlacementRouter();
     PlacementRouter(const PlacementRouter &) = delete;
     PlacementRouter &operator=(const PlacementRouter &) = delete;
 
-    /// As AdmissionQueue::setConfiguration, which it calls.
+    /// As AdmissionQueue::setConfiguration(), which it calls.
     void setConfiguration(std::shared_ptr<const Configuration> configuration);
 
-    /// As AdmissionQueue::enqueue; the target may be given out by another daemon.
+    /// As AdmissionQueue::enqueue(), but another daemon may grant the target.
     void enqueue(const AdmissionRequest &request, Callback callback);
 
-    /// Takes a request that has no target yet out, wherever it waits; no callback follows.
+    /// Removes a request that has no target yet, wherever it waits. Its callback is not called.
     void cancel(const RequestId &request);
 
 private:
     struct Route;
 
-    bool hasHomes(const AdmissionRequest &request) const;
+    bool hasHomeDaemons(const AdmissionRequest &request) const;
     void refreshMembers();
-    void tick();
+    void handleTick();
     void advance(const RequestId &request);
-    void tryOwn(const RequestId &request);
-    void tryOther(const RequestId &request, const VmId &home);
-    void waitWhereShortest(const RequestId &request);
-    void waitAtOther(const RequestId &request, const VmId &home, Milliseconds expected);
-    void startAnew(const RequestId &request);
-    void granted(const RequestId &request, const VmId &home, const TargetId &target);
-    void finish(const RequestId &request, Result<TargetId> outcome);
+    void tryLocalHome(const RequestId &request);
+    void tryRemoteHome(const RequestId &request, const VmId &home);
+    void waitAtShortestQueue(const RequestId &request);
+    void waitAtRemoteHome(const RequestId &request, const VmId &home, Milliseconds expected);
+    void restartRoute(const RequestId &request);
+    void handleGrant(const RequestId &request, const VmId &home, const TargetId &target);
+    void completeRoute(const RequestId &request, Result<TargetId> outcome);
 
     TimerService &m_timers;
     TargetTable &m_targets;
@@ -70,7 +72,7 @@
     RandomSource m_random;
     std::shared_ptr<const Configuration> m_configuration;
     VmId m_self;
-    QList<VmId> m_live;
+    QList<VmId> m_liveVms;
     QHash<RequestId, std::shared_ptr<Route>> m_routes;
     std::unique_ptr<TimerSubscription> m_timer;
 };
--- a/src/admission/RetryBudget.cpp
+++ b/src/admission/RetryBudget.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 constexpr double RetriesPerFirstAttempt = 0.1;
-/// A quiet workspace may still retry a few times, and a long quiet spell saves up no storm.
+/// The initial value allows a workspace with little traffic a few retries. The maximum prevents it
+/// from accumulating enough for a retry storm.
 constexpr double InitialRetries = 3;
-constexpr double MostRetries = 10;
+constexpr double MaxRetries = 10;
 
 template <typename Id>
 RetryAllowance &allowance(QHash<Id, RetryAllowance> &table, const Id &key)
@@ -20,17 +21,17 @@
     return *found;
 }
 
-void add(RetryAllowance &allowance)
+void addRetryFraction(RetryAllowance &allowance)
 {
-    allowance.retries = std::min(allowance.retries + RetriesPerFirstAttempt, MostRetries);
+    allowance.retries = std::min(allowance.retries + RetriesPerFirstAttempt, MaxRetries);
 }
 
 } // namespace
 
 void addFirstAttempt(RetryBudget &budget, const WorkspaceId &workspace, const TargetId &target)
 {
-    add(allowance(budget.workspaces, workspace));
-    add(allowance(budget.targets, target));
+    addRetryFraction(allowance(budget.workspaces, workspace));
+    addRetryFraction(allowance(budget.targets, target));
 }
 
 bool takeRetry(RetryBudget &budget, const WorkspaceId &workspace, const TargetId &target)
--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -1,4 +1,3 @@
-// Defines RetryBudget, which bounds retries to a part of the first attempts.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,23 +6,23 @@
 
 namespace cranberry {
 
-/// Retries that may still be made; each first attempt adds a part of one.
+/// Retries that remain. Each first attempt adds a fraction of a retry.
 struct RetryAllowance {
     double retries = 0;
 };
 
-/// Guards against retry storms: a fault that fails every request would otherwise double the
-/// load on what is left, which fails too. With a tenth of the first attempts as budget the
-/// load of retries is at most a tenth, whatever fails.
+/// Limits retries to a fraction of the first attempts. Prevents retry storms: a fault that fails
+/// every request would otherwise double the load on the remaining targets and overload them too.
+/// With a budget of a tenth of the first attempts, retries add at most a tenth to the load.
 struct RetryBudget {
     QHash<WorkspaceId, RetryAllowance> workspaces;
     QHash<TargetId, RetryAllowance> targets;
 };
 
-/// Counts a first attempt that is sent to @p target.
+/// Adds to both budgets for a first attempt that is sent to @p target.
 void addFirstAttempt(RetryBudget &budget, const WorkspaceId &workspace, const TargetId &target);
 
-/// Takes one retry of both if both have one left.
+/// Takes one retry from both budgets if both have one left; otherwise returns false.
 bool takeRetry(RetryBudget &budget, const WorkspaceId &workspace, const TargetId &target);
 
 } // namespace cranberry
--- a/src/admission/ServiceShares.cpp
+++ b/src/admission/ServiceShares.cpp
@@ -6,42 +6,43 @@
 
 namespace {
 
-/// Counters under the floor say no more than the floor does; sweeping them out bounds the
-/// table to the workspaces that were busy lately.
+/// Counters at or below the floor carry no information. Dropping them limits the table to recently
+/// active workspaces.
 constexpr int ChargesBetweenSweeps = 4096;
 
-void sweep(ServiceShares &shares)
+void dropIdleCounters(ServiceShares &shares)
 {
     shares.chargesSinceSweep = 0;
-    shares.served.removeIf([&](const auto &entry) { return entry.value() <= shares.floor; });
+    shares.weightedTokens.removeIf(
+        [&](const auto &entry) { return entry.value() <= shares.floor; });
 }
 
 } // namespace
 
-double served(const ServiceShares &shares, const WorkspaceId &workspace)
+double weightedTokens(const ServiceShares &shares, const WorkspaceId &workspace)
 {
-    return shares.served.value(workspace, shares.floor);
+    return shares.weightedTokens.value(workspace, shares.floor);
 }
 
 void charge(ServiceShares &shares, const WorkspaceId &workspace, Tokens tokens, double weight)
 {
-    auto found = shares.served.find(workspace);
-    if (found == shares.served.end())
-        found = shares.served.insert(workspace, shares.floor);
+    auto found = shares.weightedTokens.find(workspace);
+    if (found == shares.weightedTokens.end())
+        found = shares.weightedTokens.insert(workspace, shares.floor);
     *found += double(tokens.value()) / weight;
     if (++shares.chargesSinceSweep >= ChargesBetweenSweeps)
-        sweep(shares);
+        dropIdleCounters(shares);
 }
 
-void startWaiting(ServiceShares &shares, const WorkspaceId &workspace)
+void liftToFloor(ServiceShares &shares, const WorkspaceId &workspace)
 {
-    const double lifted = std::max(served(shares, workspace), shares.floor);
-    shares.served.insert(workspace, lifted);
+    const double lifted = std::max(weightedTokens(shares, workspace), shares.floor);
+    shares.weightedTokens.insert(workspace, lifted);
 }
 
-void startServing(ServiceShares &shares, const WorkspaceId &workspace)
+void raiseFloor(ServiceShares &shares, const WorkspaceId &workspace)
 {
-    shares.floor = std::max(shares.floor, served(shares, workspace));
+    shares.floor = std::max(shares.floor, weightedTokens(shares, workspace));
 }
 
 } // namespace cranberry
--- a/src/admission/ServiceShares.h
+++ b/src/admission/ServiceShares.h
@@ -1,4 +1,3 @@
-// Defines ServiceShares, the virtual token counters that make a crowded service fair.
 #pragma once
 
 #include "base/Ids.h"
@@ -8,26 +7,27 @@
 
 namespace cranberry {
 
-/// What each workspace got of one service, in tokens divided by its weight ("Fairness in
-/// Serving Large Language Models", Sheng et al.). Whoever got least is served next.
+/// Virtual token counters for fair sharing of an overloaded service: the tokens that each workspace
+/// has received from one service, divided by its weight ("Fairness in Serving Large Language
+/// Models", Sheng et al.). The workspace with the lowest counter is served next.
 struct ServiceShares {
-    QHash<WorkspaceId, double> served;
-    /// The counter of whoever was served last: where one starts that comes back from idling,
-    /// so that no credit is saved up by idling.
+    QHash<WorkspaceId, double> weightedTokens;
+    /// The counter of the workspace that was served last. A workspace that becomes active again
+    /// starts here, so that it accumulates no credit while idle.
     double floor = 0;
     int chargesSinceSweep = 0;
 };
 
 /// The counter of @p workspace.
-double served(const ServiceShares &shares, const WorkspaceId &workspace);
+double weightedTokens(const ServiceShares &shares, const WorkspaceId &workspace);
 
-/// Adds @p tokens to what @p workspace got. Precondition: @p weight is positive.
+/// Adds @p tokens to the counter of @p workspace. Precondition: @p weight is positive.
 void charge(ServiceShares &shares, const WorkspaceId &workspace, Tokens tokens, double weight);
 
-/// Lifts @p workspace, which did not wait, to the floor.
-void startWaiting(ServiceShares &shares, const WorkspaceId &workspace);
+/// Raises the counter of @p workspace, which had no waiting request, to the floor.
+void liftToFloor(ServiceShares &shares, const WorkspaceId &workspace);
 
-/// Moves the floor to the counter of @p workspace, which is served now.
-void startServing(ServiceShares &shares, const WorkspaceId &workspace);
+/// Raises the floor to the counter of @p workspace, which is being served.
+void raiseFloor(ServiceShares &shares, const WorkspaceId &workspace);
 
 } // namespace cranberry
--- a/src/admission/WaitEstimate.cpp
+++ b/src/admission/WaitEstimate.cpp
@@ -6,32 +6,33 @@
 
 namespace {
 
-constexpr double MemorySeconds = 10;
-constexpr double LeastPlacements = 3;
+constexpr double DecaySeconds = 10;
+constexpr double MinPlacements = 3;
 constexpr double MillisecondsPerSecond = 1000;
 
 } // namespace
 
-void countTime(WaitEstimate &estimate, MonotonicTime now, bool busy)
+void recordTime(WaitEstimate &estimate, MonotonicTime now, bool busy)
 {
-    const std::chrono::duration<double> passed = now - estimate.countedTo.value_or(now);
-    estimate.countedTo = now;
+    const std::chrono::duration<double> elapsed = now - estimate.updatedAt.value_or(now);
+    estimate.updatedAt = now;
     if (!busy)
         return;
-    // Only busy time ages the estimate: what was learnt in one rush serves the next.
-    const double kept = std::exp(-passed.count() / MemorySeconds);
-    estimate.placements *= kept;
-    estimate.busySeconds = estimate.busySeconds * kept + passed.count();
+    // The estimate decays in busy time only, so that the rate of one overload is available at the
+    // start of the next.
+    const double decay = std::exp(-elapsed.count() / DecaySeconds);
+    estimate.placements *= decay;
+    estimate.busySeconds = estimate.busySeconds * decay + elapsed.count();
 }
 
-void countPlacement(WaitEstimate &estimate)
+void recordPlacement(WaitEstimate &estimate)
 {
     estimate.placements += 1;
 }
 
 std::optional<Milliseconds> expectedWait(const WaitEstimate &estimate, double ahead)
 {
-    if (estimate.placements < LeastPlacements)
+    if (estimate.placements < MinPlacements)
         return std::nullopt;
     const double seconds = ahead * estimate.busySeconds / estimate.placements;
     return Milliseconds(qint64(seconds * MillisecondsPerSecond));
--- a/src/admission/WaitEstimate.h
+++ b/src/admission/WaitEstimate.h
@@ -1,4 +1,3 @@
-// Defines WaitEstimate, how long a waiting request must expect to wait.
 #pragma once
 
 #include "base/Units.h"
@@ -9,22 +8,23 @@
 
 namespace cranberry {
 
-/// Placements and the time in which somebody waited for them, both decaying.
+/// Predicts waits from the recent placement rate: the number of placements of waiting requests and
+/// the time during which requests waited, both exponentially decayed.
 struct WaitEstimate {
     double placements = 0;
     double busySeconds = 0;
-    /// Absent before the first count.
-    std::optional<MonotonicTime> countedTo;
+    /// Time of the last update; absent before the first.
+    std::optional<MonotonicTime> updatedAt;
 };
 
-/// Counts the time until @p now; @p busy tells whether somebody waited in it.
-void countTime(WaitEstimate &estimate, MonotonicTime now, bool busy);
+/// Adds the time until @p now. @p busy is true if requests waited during it.
+void recordTime(WaitEstimate &estimate, MonotonicTime now, bool busy);
 
-/// Counts one placement of a request that had waited.
-void countPlacement(WaitEstimate &estimate);
+/// Adds one placement of a request that had waited.
+void recordPlacement(WaitEstimate &estimate);
 
-/// The time until a request with @p ahead requests before it is placed; absent while too
-/// little is known.
+/// Expected time until a request that is at position @p ahead in the queue is placed; absent until
+/// enough placements have been seen.
 std::optional<Milliseconds> expectedWait(const WaitEstimate &estimate, double ahead);
 
 } // namespace cranberry
--- a/src/admission/WaitingLane.cpp
+++ b/src/admission/WaitingLane.cpp
@@ -8,11 +8,12 @@
 {
     WaitingWorkspace &waiting = lane.workspaces[request.placement.workspace];
     waiting.weight = weight;
-    const auto smaller = [&](const AdmissionRequest &other) {
+    const auto hasLowerPriority = [&](const AdmissionRequest &other) {
         return other.priority < request.priority;
     };
-    const auto place = std::find_if(waiting.requests.begin(), waiting.requests.end(), smaller);
-    waiting.requests.insert(place, request);
+    const auto position =
+        std::find_if(waiting.requests.begin(), waiting.requests.end(), hasLowerPriority);
+    waiting.requests.insert(position, request);
     ++lane.size;
 }
 
@@ -25,22 +26,23 @@
     const auto same = [&](const AdmissionRequest &other) {
         return other.placement.request == request;
     };
-    const auto place = std::find_if(requests.begin(), requests.end(), same);
-    if (place == requests.end())
+    const auto position = std::find_if(requests.begin(), requests.end(), same);
+    if (position == requests.end())
         return;
-    requests.erase(place);
+    requests.erase(position);
     --lane.size;
     if (requests.empty())
         lane.workspaces.erase(found);
 }
 
-QList<AdmissionRequest> turns(const WaitingLane &lane, const ServiceShares &shares, int atMost)
+QList<AdmissionRequest> nextRequests(const WaitingLane &lane, const ServiceShares &shares,
+                                     int maxCount)
 {
     std::vector<std::pair<double, const AdmissionRequest *>> first;
     first.reserve(lane.workspaces.size());
     for (const auto &[workspace, waiting] : lane.workspaces)
-        first.emplace_back(served(shares, workspace), &waiting.requests.front());
-    const auto wanted = std::min(first.size(), size_t(std::max(atMost, 0)));
+        first.emplace_back(weightedTokens(shares, workspace), &waiting.requests.front());
+    const auto wanted = std::min(first.size(), size_t(std::max(maxCount, 0)));
     std::partial_sort(first.begin(), first.begin() + qsizetype(wanted), first.end(),
                       [](const auto &a, const auto &b) { return a.first < b.first; });
     QList<AdmissionRequest> order;
@@ -49,7 +51,7 @@
     return order;
 }
 
-int requestsOf(const WaitingLane &lane, const WorkspaceId &workspace)
+int waitingCount(const WaitingLane &lane, const WorkspaceId &workspace)
 {
     const auto found = lane.workspaces.find(workspace);
     return found == lane.workspaces.end() ? 0 : int(found->second.requests.size());
@@ -57,7 +59,7 @@
 
 double requestsAhead(const WaitingLane &lane, const WorkspaceId &workspace, double weight)
 {
-    const double ownCount = 1.0 + requestsOf(lane, workspace);
+    const double ownCount = 1.0 + waitingCount(lane, workspace);
     double ahead = ownCount;
     for (const auto &[other, waiting] : lane.workspaces) {
         if (other == workspace)
@@ -68,19 +70,19 @@
     return ahead;
 }
 
-WorkspaceId crowdingWorkspace(const WaitingLane &lane, const WorkspaceId &workspace, double weight)
+WorkspaceId workspaceToEvict(const WaitingLane &lane, const WorkspaceId &workspace, double weight)
 {
-    const double ownCount = 1.0 + requestsOf(lane, workspace);
-    WorkspaceId crowding;
-    double most = ownCount / weight;
+    const double ownCount = 1.0 + waitingCount(lane, workspace);
+    WorkspaceId mostLoaded;
+    double maxLoad = ownCount / weight;
     for (const auto &[other, waiting] : lane.workspaces) {
         const double load = double(waiting.requests.size()) / waiting.weight;
-        if (other != workspace && load > most) {
-            most = load;
-            crowding = other;
+        if (other != workspace && load > maxLoad) {
+            maxLoad = load;
+            mostLoaded = other;
         }
     }
-    return crowding;
+    return mostLoaded;
 }
 
 } // namespace cranberry
--- a/src/admission/WaitingLane.h
+++ b/src/admission/WaitingLane.h
@@ -1,4 +1,3 @@
-// Defines WaitingLane, the requests that wait for one model of one service.
 #pragma once
 
 #include "admission/AdmissionRequest.h"
@@ -14,35 +13,37 @@
 
 struct WaitingWorkspace {
     double weight = 1;
-    /// By priority, then by arrival. Never empty while in a lane.
+    /// Ordered by priority, then by arrival. Never empty while in a lane.
     std::deque<AdmissionRequest> requests;
 };
 
+/// The requests that wait for one model of one service.
 struct WaitingLane {
     std::map<WorkspaceId, WaitingWorkspace> workspaces;
     int size = 0;
-    /// How often others passed the request whose turn it is.
-    int passed = 0;
+    /// Number of times that the first request in order has been bypassed.
+    int bypassCount = 0;
 };
 
-/// Adds @p request behind those of its workspace with its priority or a larger one.
+/// Inserts @p request behind the requests of its workspace with the same or a higher priority.
 void insert(WaitingLane &lane, const AdmissionRequest &request, double weight);
 
-/// Takes out @p request of @p workspace; ignored if it is not there.
+/// Removes @p request of @p workspace; ignored if it is not in the lane.
 void remove(WaitingLane &lane, const WorkspaceId &workspace, const RequestId &request);
 
-/// The first request of each workspace, in the order of the shares.
-QList<AdmissionRequest> turns(const WaitingLane &lane, const ServiceShares &shares, int atMost);
+/// The first request of each workspace, in the order of the shares, at most @p maxCount of them.
+QList<AdmissionRequest> nextRequests(const WaitingLane &lane, const ServiceShares &shares,
+                                     int maxCount);
 
-/// How many requests of @p workspace wait.
-int requestsOf(const WaitingLane &lane, const WorkspaceId &workspace);
+/// Number of waiting requests of @p workspace.
+int waitingCount(const WaitingLane &lane, const WorkspaceId &workspace);
 
-/// How many waiting requests a new one of @p workspace has to let pass, itself included, if
-/// everyone gets its share.
+/// The position that a new request of @p workspace would have under fair sharing: the number of
+/// requests placed up to and including it.
 double requestsAhead(const WaitingLane &lane, const WorkspaceId &workspace, double weight);
 
-/// The workspace that waits with most requests for its weight, if that is more than
-/// @p workspace would have with one more: it makes room in a full queue.
-WorkspaceId crowdingWorkspace(const WaitingLane &lane, const WorkspaceId &workspace, double weight);
+/// The workspace with the most waiting requests relative to its weight, if it exceeds @p workspace
+/// with one more request; empty otherwise. It loses a request when the queue is full.
+WorkspaceId workspaceToEvict(const WaitingLane &lane, const WorkspaceId &workspace, double weight);
 
 } // namespace cranberry
--- a/src/admission/WorkspaceLimiter.cpp
+++ b/src/admission/WorkspaceLimiter.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/// A bucket holds what a second allows, and never less than one request.
+/// The bucket holds the requests of one second, and at least one request.
 double bucketSize(const WorkspaceLimits &limits)
 {
     return std::max(limits.requestsPerSecond, 1.0);
 }
 
-void fill(WorkspaceUse &use, const WorkspaceLimits &limits, MonotonicTime now)
+void refill(WorkspaceUsage &use, const WorkspaceLimits &limits, MonotonicTime now)
 {
-    const std::chrono::duration<double> passed = now - use.filledAt;
-    use.bucket =
-        std::min(use.bucket + passed.count() * limits.requestsPerSecond, bucketSize(limits));
-    use.filledAt = now;
+    const std::chrono::duration<double> passed = now - use.refilledAt;
+    use.availableRequests = std::min(
+        use.availableRequests + passed.count() * limits.requestsPerSecond, bucketSize(limits));
+    use.refilledAt = now;
 }
 
-Error overLimit(const QString &detail, double seconds)
+Error overLimitError(const QString &detail, double seconds)
 {
     Error error;
     error.kind = ErrorKind::OverLimit;
@@ -32,39 +32,41 @@
 
 } // namespace
 
-std::optional<Error> enter(WorkspaceLimiter &limiter, const RequestId &request,
-                           const WorkspaceId &workspace, const WorkspaceLimits &limits,
-                           MonotonicTime now)
+std::optional<Error> acquireSlot(WorkspaceLimiter &limiter, const RequestId &request,
+                                 const WorkspaceId &workspace, const WorkspaceLimits &limits,
+                                 MonotonicTime now)
 {
-    auto found = limiter.uses.find(workspace);
-    if (found == limiter.uses.end())
-        found = limiter.uses.insert(workspace, {0, bucketSize(limits), now});
-    WorkspaceUse &use = *found;
+    auto found = limiter.usage.find(workspace);
+    if (found == limiter.usage.end())
+        found = limiter.usage.insert(workspace, {0, bucketSize(limits), now});
+    WorkspaceUsage &use = *found;
     if (limits.concurrentRequests > 0 && use.concurrent >= limits.concurrentRequests) {
-        return overLimit(QStringLiteral("The workspace has %1 requests under way, its limit.")
-                             .arg(use.concurrent),
-                         1);
+        return overLimitError(
+            QStringLiteral("The workspace has %1 requests in progress, its limit.")
+                .arg(use.concurrent),
+            1);
     }
     if (limits.requestsPerSecond > 0) {
-        fill(use, limits, now);
-        if (use.bucket < 1) {
-            return overLimit(QStringLiteral("The workspace sent more than %1 requests a second.")
-                                 .arg(limits.requestsPerSecond),
-                             (1 - use.bucket) / limits.requestsPerSecond);
+        refill(use, limits, now);
+        if (use.availableRequests < 1) {
+            return overLimitError(
+                QStringLiteral("The workspace exceeded its limit of %1 requests per second.")
+                    .arg(limits.requestsPerSecond),
+                (1 - use.availableRequests) / limits.requestsPerSecond);
         }
-        use.bucket -= 1;
+        use.availableRequests -= 1;
     }
     ++use.concurrent;
     limiter.requests.insert(request, workspace);
     return std::nullopt;
 }
 
-void leave(WorkspaceLimiter &limiter, const RequestId &request)
+void releaseSlot(WorkspaceLimiter &limiter, const RequestId &request)
 {
     const auto found = limiter.requests.find(request);
     if (found == limiter.requests.end())
         return;
-    --limiter.uses[*found].concurrent;
+    --limiter.usage[*found].concurrent;
     limiter.requests.erase(found);
 }
 
--- a/src/admission/WorkspaceLimiter.h
+++ b/src/admission/WorkspaceLimiter.h
@@ -1,4 +1,3 @@
-// Defines WorkspaceLimiter, the limits of each workspace in this daemon.
 #pragma once
 
 #include "base/Result.h"
@@ -9,26 +8,27 @@
 
 namespace cranberry {
 
-struct WorkspaceUse {
+struct WorkspaceUsage {
     int concurrent = 0;
-    /// Requests that may start now, by the token bucket.
-    double bucket = 0;
-    MonotonicTime filledAt;
+    /// Requests that may start now, the level of the token bucket.
+    double availableRequests = 0;
+    MonotonicTime refilledAt;
 };
 
+/// Enforces the limits of each workspace in this daemon.
 struct WorkspaceLimiter {
-    QHash<WorkspaceId, WorkspaceUse> uses;
-    /// Requests that count as concurrent, by workspace.
+    QHash<WorkspaceId, WorkspaceUsage> usage;
+    /// The requests in progress and their workspaces.
     QHash<RequestId, WorkspaceId> requests;
 };
 
-/// Counts @p request as under way, or says that a limit keeps it out (OverLimit, with the
-/// time after which it may pass). Precondition: @p request is not under way.
-std::optional<Error> enter(WorkspaceLimiter &limiter, const RequestId &request,
-                           const WorkspaceId &workspace, const WorkspaceLimits &limits,
-                           MonotonicTime now);
+/// Counts @p request as in progress, or returns an OverLimit error with the time after which it may
+/// be retried. Precondition: @p request is not in progress.
+std::optional<Error> acquireSlot(WorkspaceLimiter &limiter, const RequestId &request,
+                                 const WorkspaceId &workspace, const WorkspaceLimits &limits,
+                                 MonotonicTime now);
 
-/// Ends @p request; ignored if it is not under way.
-void leave(WorkspaceLimiter &limiter, const RequestId &request);
+/// Ends @p request; ignored if it is not in progress.
+void releaseSlot(WorkspaceLimiter &limiter, const RequestId &request);
 
 } // namespace cranberry
--- a/src/daemon/Dispatcher.cpp
+++ b/src/daemon/Dispatcher.cpp
@@ -100,7 +100,7 @@
     QList<ProbationCandidate> candidates;
     for (const TargetLoad &load : loads) {
         if (isAllowed(load, placement.excluded))
-            candidates.append({load.target, load.ownRequests + load.othersRequests});
+            candidates.append({load.target, load.ownRequests + load.remoteRequests});
     }
     const std::optional<TargetId> target =
         m_surroundings.quarantine.probationTarget(wait->fingerprint, candidates);
@@ -126,7 +126,7 @@
     if (onProbation || verdict != QuarantineVerdict::Free) {
         // While this one waited, a suspect went to that target, or it became a suspect itself.
         // Two suspects on one target could not be told apart if it died.
-        m_surroundings.admission.attemptEnded(wait->admission.attempt, AttemptEnd::CutOff);
+        m_surroundings.admission.attemptEnded(wait->admission.attempt, AttemptEnd::Incomplete);
         tryLater(wait);
         return;
     }
@@ -199,7 +199,7 @@
     const bool finished = outcome == AttemptOutcome::Finished;
     m_surroundings.quarantine.attemptFinished(fingerprint, target, finished);
     m_surroundings.admission.attemptEnded(attempt,
-                                          finished ? AttemptEnd::Finished : AttemptEnd::CutOff);
+                                          finished ? AttemptEnd::Finished : AttemptEnd::Incomplete);
 }
 
 void Dispatcher::targetLost(const TargetId &target)
@@ -241,7 +241,7 @@
 void Dispatcher::bringBackAfter(const TargetId &target, Milliseconds pause)
 {
     m_backAgain[target] = m_surroundings.timers.after(pause, [this, target] {
-        m_surroundings.targets.markBack(target);
+        m_surroundings.targets.markAlive(target);
         m_surroundings.admission.capacityChanged();
         m_backAgain.remove(target);
     });
--- a/src/placement/AttemptEnd.h
+++ b/src/placement/AttemptEnd.h
@@ -1,13 +1,13 @@
-// Defines AttemptEnd, how a send to a target ended.
 #pragma once
 
 namespace cranberry {
 
+/// The outcome of an attempt for the length statistics.
 enum class AttemptEnd {
-    /// The target said that the answer is complete; its length is a sample.
+    /// The target reported the answer as complete; its length is a sample.
     Finished,
-    /// Refused, failed, cancelled or lost: only a lower bound of the length is known.
-    CutOff,
+    /// Refused, failed, cancelled or lost: the length so far is only a lower bound.
+    Incomplete,
 };
 
 } // namespace cranberry
--- a/src/placement/ForecastPolicy.cpp
+++ b/src/placement/ForecastPolicy.cpp
@@ -4,52 +4,54 @@
 
 namespace {
 
-/// A target on which the prefix is wanted is taken before others while it has room: the prompt
-/// work that its cache saves is time between tokens for every stream on it.
-constexpr double PrefixBonus = 0.8;
-/// Only a tie-break: a message between data centres costs little against a token.
+/// Large enough that a preferred target with free capacity wins over other targets: the prefill
+/// that its prefix cache saves shortens the inter-token time of every stream on it.
+constexpr double PrefixCacheBonus = 0.8;
+/// Breaks ties only: the latency of a message between data centres is small against the time of a
+/// token.
 constexpr double SameDataCentreBonus = 0.005;
-/// A target that may run out if everything goes badly is full.
-constexpr double FullPressure = 1.0;
+/// Above this pressure a target may run out of memory within the safety margin.
+constexpr double MaxPressure = 1.0;
 constexpr Tokens InterTokenPrefillBudget{512};
 constexpr Tokens StallPrefillBudget{4096};
 
-struct Scored {
+struct ScoredTarget {
     const TargetLoad *target = nullptr;
     double pressure = 0;
     double score = 0;
 };
 
-bool hasPrefillRoom(const PlacementRequest &request, const ForecastSettings &settings,
-                    const TargetLoad &target)
+bool hasPrefillCapacity(const PlacementRequest &request, const ForecastSettings &settings,
+                        const TargetLoad &target)
 {
-    // A prompt over the budget still has to go somewhere: it goes alone.
+    // A prompt larger than the budget must still be placed; it is admitted when no other prefill is
+    // in progress.
     if (target.ownPrefillTokens == Tokens(0))
         return true;
     return target.ownPrefillTokens + request.promptTokens <= settings.prefillBudget;
 }
 
-/// Without a capacity nothing can be forecast; requests stand in for memory.
-double pressureOn(const PlacementRequest &request, const ForecastSettings &settings,
-                  const TargetLoad &target)
+/// Uses the number of requests as a stand-in for memory if the target reports no capacity.
+double targetPressure(const PlacementRequest &request, const ForecastSettings &settings,
+                      const TargetLoad &target)
 {
-    constexpr double ManyRequests = 1000;
+    constexpr double RequestsAtFullPressure = 1000;
     if (target.capacityTokens <= Tokens(0))
-        return (target.ownRequests + target.othersRequests) / ManyRequests;
-    MemoryForecast all = target.forecast;
-    all += request.growth;
-    return pressure(all, target.capacityTokens, settings.sigmas);
+        return (target.ownRequests + target.remoteRequests) / RequestsAtFullPressure;
+    MemoryForecast withRequest = target.forecast;
+    withRequest += request.expectedMemory;
+    return memoryPressure(withRequest, target.capacityTokens, settings.sigmas);
 }
 
-double bonusOf(const PlacementRequest &request, const TargetLoad &target)
+double localityBonus(const PlacementRequest &request, const TargetLoad &target)
 {
-    return (target.preferredForPrefix ? PrefixBonus : 0)
+    return (target.preferredForPrefix ? PrefixCacheBonus : 0)
         + (target.dataCentre == request.dataCentre ? SameDataCentreBonus : 0);
 }
 
-bool isEmpty(const TargetLoad &target)
+bool isIdle(const TargetLoad &target)
 {
-    return target.ownRequests == 0 && target.othersRequests == 0;
+    return target.ownRequests == 0 && target.remoteRequests == 0;
 }
 
 } // namespace
@@ -57,35 +59,36 @@
 ForecastSettings forecastSettings(const ServiceConfiguration &service)
 {
     const bool interToken = service.objective == Objective::InterToken;
-    return {sigmasFor(service.preemptionChance),
+    return {normalUpperQuantile(service.preemptionChance),
             interToken ? InterTokenPrefillBudget : StallPrefillBudget};
 }
 
 double placementScore(const PlacementRequest &request, const ForecastSettings &settings,
                       const TargetLoad &target)
 {
-    return pressureOn(request, settings, target) - bonusOf(request, target);
+    return targetPressure(request, settings, target) - localityBonus(request, target);
 }
 
 Placement placeForecast(const PlacementRequest &request, const ForecastSettings &settings,
                         const QList<TargetLoad> &usable, quint64 draw)
 {
-    Scored best;
+    ScoredTarget best;
     const auto count = usable.size();
     const auto start = qsizetype(draw % quint64(count));
     for (qsizetype i = 0; i < count; ++i) {
         const TargetLoad &target = usable[(start + i) % count];
         if (request.preferredOnly && !target.preferredForPrefix)
             continue;
-        if (!hasPrefillRoom(request, settings, target))
+        if (!hasPrefillCapacity(request, settings, target))
             continue;
-        const double filled = pressureOn(request, settings, target);
-        // An empty target takes any request: one that never fits must not wait for ever.
-        if (filled > FullPressure && !isEmpty(target))
+        const double pressure = targetPressure(request, settings, target);
+        // An idle target accepts any request; otherwise a request too large for any target would
+        // never be placed.
+        if (pressure > MaxPressure && !isIdle(target))
             continue;
-        const double score = filled - bonusOf(request, target);
+        const double score = pressure - localityBonus(request, target);
         if (!best.target || score < best.score)
-            best = {&target, filled, score};
+            best = {&target, pressure, score};
     }
     if (!best.target)
         return {PlacementOutcome::Wait, {}, {}, QStringLiteral("full=%1").arg(count)};
--- a/src/placement/ForecastPolicy.h
+++ b/src/placement/ForecastPolicy.h
@@ -1,4 +1,3 @@
-// Defines the forecast policy, which keeps targets from running out of memory.
 #pragma once
 
 #include "configuration/Configuration.h"
@@ -10,25 +9,25 @@
 
 namespace cranberry {
 
-/// What a service's objective sets.
+/// Policy parameters derived from a service's objective.
 struct ForecastSettings {
-    /// Standard deviations of the margin.
+    /// Safety margin, in standard deviations of the predicted memory use.
     double sigmas = 2;
-    /// Prompt tokens that may be in flight on a target.
+    /// Maximum number of prompt tokens in prefill on one target at a time.
     Tokens prefillBudget;
 };
 
 /// Thread-safe.
 ForecastSettings forecastSettings(const ServiceConfiguration &service);
 
-/// The part of its memory that @p target would fill with @p request, less what a cached prefix
-/// and a near data centre are worth; smaller is better. Thread-safe.
+/// Predicted memory pressure of @p target with @p request added, minus the bonuses for a cached
+/// prefix and for the same data centre. Lower is better. Thread-safe.
 double placementScore(const PlacementRequest &request, const ForecastSettings &settings,
                       const TargetLoad &target);
 
-/// Among the targets that have room for @p request the one under least pressure; a cached
-/// prefix and a near data centre count as a little less of it. Wait if none has room.
-/// Precondition: @p usable is not empty. Thread-safe.
+/// Places by predicted memory use, so that targets do not run out of memory. Chooses the target
+/// with the lowest score among those with capacity for @p request. The outcome is Wait if none has
+/// capacity. @p draw breaks ties. Precondition: @p usable is not empty. Thread-safe.
 Placement placeForecast(const PlacementRequest &request, const ForecastSettings &settings,
                         const QList<TargetLoad> &usable, quint64 draw);
 
--- a/src/placement/LengthDistribution.cpp
+++ b/src/placement/LengthDistribution.cpp
@@ -7,38 +7,39 @@
 
 namespace {
 
-/// Answers that outlive everything known are taken to go on for a while.
-constexpr double LeastSurvival = 1e-6;
+/// Below this survival probability the distribution gives no information; such an answer is
+/// predicted to double its length.
+constexpr double MinSurvival = 1e-6;
 
-struct Edges {
-    Edges()
+struct BinEdges {
+    BinEdges()
     {
-        for (int i = 0; i <= LengthBins; ++i)
-            at[size_t(i)] = std::pow(LongestLength, double(i) / LengthBins);
+        for (int i = 0; i <= LengthBinCount; ++i)
+            values[size_t(i)] = std::pow(MaxLengthTokens, double(i) / LengthBinCount);
     }
-    std::array<double, LengthBins + 1> at{};
+    std::array<double, LengthBinCount + 1> values{};
 };
 
-const Edges &edges()
+const BinEdges &binEdges()
 {
-    static const Edges computed;
+    static const BinEdges computed;
     return computed;
 }
 
-int binOf(double tokens)
+int binIndex(double tokens)
 {
-    static const double binsPerLog = LengthBins / std::log(LongestLength);
-    return std::clamp(int(std::log(tokens) * binsPerLog), 0, LengthBins - 1);
+    static const double binsPerLog = LengthBinCount / std::log(MaxLengthTokens);
+    return std::clamp(int(std::log(tokens) * binsPerLog), 0, LengthBinCount - 1);
 }
 
-/// Integral of the survival from @p from tokens on: the mean of what lies beyond, times the
-/// chance of reaching it.
+/// Integral of the survival function from @p from tokens on. Divided by the survival at @p from it
+/// is the mean remaining length.
 double survivalIntegral(const LengthDistribution &length, double from)
 {
     double sum = 0;
     double previous = survivalAt(length, from);
     double previousEdge = from;
-    for (int i = binOf(std::max(from, 1.0)) + 1; i <= LengthBins; ++i) {
+    for (int i = binIndex(std::max(from, 1.0)) + 1; i <= LengthBinCount; ++i) {
         const double next = length.survival[size_t(i)];
         sum += (lengthEdge(i) - previousEdge) * (previous + next) / 2;
         previous = next;
@@ -51,43 +52,43 @@
 
 double lengthEdge(int bin)
 {
-    return edges().at[size_t(bin)];
+    return binEdges().values[size_t(bin)];
 }
 
 double survivalAt(const LengthDistribution &length, double tokens)
 {
     if (tokens <= 1)
         return 1;
-    if (tokens >= LongestLength)
+    if (tokens >= MaxLengthTokens)
         return 0;
-    const int bin = binOf(tokens);
+    const int bin = binIndex(tokens);
     const double low = lengthEdge(bin);
     const double part = (tokens - low) / (lengthEdge(bin + 1) - low);
     const double above = length.survival[size_t(bin)];
     return above + (length.survival[size_t(bin) + 1] - above) * std::clamp(part, 0.0, 1.0);
 }
 
-double survivalAfter(const LengthDistribution &length, Tokens generated, double further)
+double conditionalSurvival(const LengthDistribution &length, Tokens generated, double further)
 {
     const auto reached = double(generated.value());
-    const double alive = survivalAt(length, reached);
-    if (alive < LeastSurvival)
+    const double surviving = survivalAt(length, reached);
+    if (surviving < MinSurvival)
         return further < reached ? 1 : 0;
-    return survivalAt(length, reached + further) / alive;
+    return survivalAt(length, reached + further) / surviving;
 }
 
 RemainingLength remainingLength(const LengthDistribution &length, Tokens generated)
 {
     const auto reached = double(generated.value());
-    const double alive = survivalAt(length, reached);
-    if (alive < LeastSurvival)
+    const double surviving = survivalAt(length, reached);
+    if (surviving < MinSurvival)
         return {reached, reached * reached};
-    const double mean = survivalIntegral(length, reached) / alive;
-    // E[X^2] is the integral of 2 x P(X > x), taken bin by bin.
+    const double mean = survivalIntegral(length, reached) / surviving;
+    // E[X^2] is the integral of 2 * x * P(X > x), summed over the bins.
     double square = 0;
     double previousEdge = reached;
-    double previous = alive;
-    for (int i = binOf(std::max(reached, 1.0)) + 1; i <= LengthBins; ++i) {
+    double previous = surviving;
+    for (int i = binIndex(std::max(reached, 1.0)) + 1; i <= LengthBinCount; ++i) {
         const double edge = lengthEdge(i);
         const double middle = (edge + previousEdge) / 2 - reached;
         const double next = length.survival[size_t(i)];
@@ -95,10 +96,10 @@
         previousEdge = edge;
         previous = next;
     }
-    return {mean, std::max(0.0, square / alive - mean * mean)};
+    return {mean, std::max(0.0, square / surviving - mean * mean)};
 }
 
-double steadySurvival(const LengthDistribution &length, double further)
+double steadyStateSurvival(const LengthDistribution &length, double further)
 {
     const double all = survivalIntegral(length, 0);
     return all > 0 ? survivalIntegral(length, further) / all : 0;
--- a/src/placement/LengthKey.h
+++ b/src/placement/LengthKey.h
@@ -1,4 +1,3 @@
-// Defines LengthKey, whose answers are alike in length.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,7 +6,8 @@
 
 namespace cranberry {
 
-/// An empty workspace, then an empty model, stand for all of them.
+/// Identifies a group of answers that share a length distribution. An empty workspace stands for
+/// all workspaces; an empty workspace and model stand for all of both.
 struct LengthKey {
     ServiceId service;
     ModelId model;
--- a/src/placement/LengthModel.cpp
+++ b/src/placement/LengthModel.cpp
@@ -9,31 +9,31 @@
 
 namespace histogram = boost::histogram;
 
-/// Samples that a group remembers; older ones fade.
-constexpr float RememberedSamples = 400;
-/// Samples of the wider group that a group starts from.
-constexpr double BorrowedSamples = 12;
-/// At 5,500 workspaces and 4 models 22,005 groups are in use.
-constexpr qsizetype MostGroups = 32'768;
+/// Time constant of the exponential decay, in samples of a group.
+constexpr float DecaySamples = 400;
+/// Weight of the next wider group as a prior, in samples.
+constexpr double PriorSamples = 12;
+/// Bounds memory. 5,500 workspaces with 4 models need 22,005 groups.
+constexpr qsizetype MaxGroups = 32'768;
 
 LengthHistogram emptyHistogram()
 {
     return histogram::make_histogram_with(
         histogram::dense_storage<float>(),
         histogram::axis::regular<double, histogram::axis::transform::log,
-                                 histogram::axis::null_type>(LengthBins, 1.0, LongestLength));
+                                 histogram::axis::null_type>(LengthBinCount, 1.0, MaxLengthTokens));
 }
 
-int binOf(const LengthHistogram &lengths, Tokens length)
+int binIndex(const LengthHistogram &lengths, Tokens length)
 {
     const int index = lengths.axis().index(double(std::max<qint64>(length.value(), 1)));
-    return std::clamp(index, 0, LengthBins - 1);
+    return std::clamp(index, 0, LengthBinCount - 1);
 }
 
-/// Every order of magnitude is as likely as another until something is known.
-constexpr double PriorMass = 1.0 / LengthBins;
+/// Prior of the widest group: each bin, and so each order of magnitude, is equally likely.
+constexpr double UniformBinMass = 1.0 / LengthBinCount;
 
-std::array<LengthKey, 3> widening(const LengthKey &key)
+std::array<LengthKey, 3> keyHierarchy(const LengthKey &key)
 {
     return {LengthKey{key.service, {}, {}}, LengthKey{key.service, key.model, {}}, key};
 }
@@ -45,21 +45,21 @@
 {
 }
 
-void LengthModel::finished(const LengthKey &key, Tokens length)
+void LengthModel::addCompleted(const LengthKey &key, Tokens length)
 {
     static const LengthHistogram layout = emptyHistogram();
     Mass mass{};
-    mass[size_t(binOf(layout, length))] = 1;
+    mass[size_t(binIndex(layout, length))] = 1;
     add(key, mass);
 }
 
-// The sample's weight goes to the longer lengths in the proportion in which they are believed
-// in ("redistribution to the right", Efron 1967).
-void LengthModel::cutOff(const LengthKey &key, Tokens length)
+// Distributes the weight of the sample over the bins at and above @p length in proportion to their
+// predicted mass ("redistribution to the right", Efron 1967).
+void LengthModel::addCensored(const LengthKey &key, Tokens length)
 {
     static const LengthHistogram layout = emptyHistogram();
-    const auto reached = size_t(binOf(layout, length));
-    Mass mass = blendedMass(key);
+    const auto reached = size_t(binIndex(layout, length));
+    Mass mass = smoothedMass(key);
     std::fill(mass.begin(), mass.begin() + qsizetype(reached), 0.0);
     double sum = 0;
     for (const double part : mass)
@@ -74,32 +74,32 @@
 void LengthModel::add(const LengthKey &key, const Mass &mass)
 {
     ++m_samples;
-    constexpr float Kept = 1 - 1 / RememberedSamples;
-    for (const LengthKey &each : widening(key)) {
+    constexpr float DecayFactor = 1 - 1 / DecaySamples;
+    for (const LengthKey &each : keyHierarchy(key)) {
         Group &group = m_groups[each];
         group.lastUsed = m_samples;
-        group.weight = group.weight * Kept + 1;
-        for (int i = 0; i < LengthBins; ++i) {
+        group.weight = group.weight * DecayFactor + 1;
+        for (int i = 0; i < LengthBinCount; ++i) {
             float &bin = group.histogram.at(i);
-            bin = bin * Kept + float(mass[size_t(i)]);
+            bin = bin * DecayFactor + float(mass[size_t(i)]);
         }
     }
-    if (m_groups.size() > MostGroups)
-        sweep();
+    if (m_groups.size() > MaxGroups)
+        evictLeastRecent();
 }
 
-LengthModel::Mass LengthModel::blendedMass(const LengthKey &key) const
+LengthModel::Mass LengthModel::smoothedMass(const LengthKey &key) const
 {
     Mass mass;
-    mass.fill(PriorMass);
-    for (const LengthKey &each : widening(key)) {
+    mass.fill(UniformBinMass);
+    for (const LengthKey &each : keyHierarchy(key)) {
         const auto found = m_groups.constFind(each);
         if (found == m_groups.constEnd())
             return mass;
-        const double total = double(found->weight) + BorrowedSamples;
-        for (int i = 0; i < LengthBins; ++i) {
+        const double total = double(found->weight) + PriorSamples;
+        for (int i = 0; i < LengthBinCount; ++i) {
             double &part = mass[size_t(i)];
-            part = (double(found->histogram.at(i)) + BorrowedSamples * part) / total;
+            part = (double(found->histogram.at(i)) + PriorSamples * part) / total;
         }
     }
     return mass;
@@ -107,24 +107,24 @@
 
 LengthDistribution LengthModel::distribution(const LengthKey &key, Tokens maxTokens) const
 {
-    const Mass mass = blendedMass(key);
+    const Mass mass = smoothedMass(key);
     LengthDistribution length;
-    double alive = 1;
+    double surviving = 1;
     const auto bound = double(maxTokens.value());
-    for (int i = 0; i <= LengthBins; ++i) {
+    for (int i = 0; i <= LengthBinCount; ++i) {
         const bool beyond = bound > 0 && lengthEdge(i) >= bound;
-        length.survival[size_t(i)] = beyond ? 0 : std::max(alive, 0.0);
-        if (i < LengthBins)
-            alive -= mass[size_t(i)];
+        length.survival[size_t(i)] = beyond ? 0 : std::max(surviving, 0.0);
+        if (i < LengthBinCount)
+            surviving -= mass[size_t(i)];
     }
     length.survival.front() = 1;
     length.survival.back() = 0;
     return length;
 }
 
-// Drops the half that was used longest ago: a workspace that comes back starts from the wider
+// Drops the least recently used half of the groups. A workspace that returns starts from the wider
 // group again.
-void LengthModel::sweep()
+void LengthModel::evictLeastRecent()
 {
     std::vector<quint64> used;
     used.reserve(size_t(m_groups.size()));
@@ -136,7 +136,7 @@
     m_groups.removeIf([&](const auto &entry) { return entry.value().lastUsed < oldest; });
 }
 
-int LengthModel::groups() const
+int LengthModel::groupCount() const
 {
     return int(m_groups.size());
 }
--- a/src/placement/LengthModel.h
+++ b/src/placement/LengthModel.h
@@ -1,4 +1,3 @@
-// Defines LengthModel, which learns how long answers are from those that ended.
 #pragma once
 
 #include "placement/LengthDistribution.h"
@@ -15,30 +14,31 @@
 
 namespace cranberry {
 
-/// Lengths that end in each bin, decaying with each new sample.
+/// Decayed number of answers whose length falls into each bin.
 using LengthHistogram = boost::histogram::histogram<
     std::tuple<boost::histogram::axis::regular<double, boost::histogram::axis::transform::log,
                                                boost::histogram::axis::null_type>>,
     boost::histogram::dense_storage<float>>;
 
-/// A decayed histogram on a log axis for each workspace, model and service; a thin one leans
-/// on the wider one above it.
-/// Thread safety: none; it is guarded by the lock of whoever holds it.
+/// Estimates answer lengths from answers that have ended. Keeps one exponentially decayed histogram
+/// with logarithmic bins for each service, for each model and for each workspace. A group with few
+/// samples is smoothed with the next wider group.
+/// Thread safety: none; the owner guards it with its lock.
 class LengthModel
 {
 public:
-    /// Learns the length of a finished answer.
-    void finished(const LengthKey &key, Tokens length);
+    /// Adds the length of a completed answer.
+    void addCompleted(const LengthKey &key, Tokens length);
 
-    /// Learns that an answer was cut off at @p length: it would have been longer. Dropping such
-    /// answers would make the model believe in short ones.
-    void cutOff(const LengthKey &key, Tokens length);
+    /// Adds a right-censored sample: an answer that was interrupted at @p length and would have
+    /// been longer. Discarding such answers would bias the model towards short ones.
+    void addCensored(const LengthKey &key, Tokens length);
 
-    /// The belief for a new answer of @p key that is cut at @p maxTokens.
+    /// The predicted length distribution of a new answer of @p key that is limited to @p maxTokens.
     LengthDistribution distribution(const LengthKey &key, Tokens maxTokens) const;
 
-    /// Histograms held; bounded.
-    int groups() const;
+    /// Number of histograms in memory; bounded.
+    int groupCount() const;
 
 private:
     struct Group {
@@ -47,11 +47,11 @@
         float weight = 0;
         quint64 lastUsed = 0;
     };
-    using Mass = std::array<double, LengthBins>;
+    using Mass = std::array<double, LengthBinCount>;
 
     void add(const LengthKey &key, const Mass &mass);
-    Mass blendedMass(const LengthKey &key) const;
-    void sweep();
+    Mass smoothedMass(const LengthKey &key) const;
+    void evictLeastRecent();
 
     QHash<LengthKey, Group> m_groups;
     quint64 m_samples = 0;
--- a/src/placement/MemoryForecast.cpp
+++ b/src/placement/MemoryForecast.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Engines give out memory in blocks; a request wastes a part of its last one.
-constexpr double BlockWaste = 8;
+/// Tokens allowed for the unused part of a request's last memory block; engines allocate memory in
+/// blocks.
+constexpr double BlockOverheadTokens = 8;
 
 } // namespace
 
@@ -35,51 +36,51 @@
 MemoryForecast forecastRequest(const LengthDistribution &length, Tokens held, Tokens generated)
 {
     MemoryForecast forecast;
-    const double now = double(held.value()) + BlockWaste;
+    const double now = double(held.value()) + BlockOverheadTokens;
     for (size_t i = 0; i < Horizons.size(); ++i) {
-        const double alive = survivalAfter(length, generated, Horizons[i]);
+        const double surviving = conditionalSurvival(length, generated, Horizons[i]);
         const double size = now + Horizons[i];
-        forecast.mean[i] = size * alive;
-        forecast.variance[i] = size * size * alive * (1 - alive);
+        forecast.mean[i] = size * surviving;
+        forecast.variance[i] = size * size * surviving * (1 - surviving);
     }
     return forecast;
 }
 
-SteadyForecast forecastSteady(const LengthDistribution &length)
+SteadyStateSurvival forecastSteadyState(const LengthDistribution &length)
 {
-    SteadyForecast steady;
+    SteadyStateSurvival steady;
     for (size_t i = 0; i < Horizons.size(); ++i)
-        steady[i] = steadySurvival(length, Horizons[i]);
+        steady[i] = steadyStateSurvival(length, Horizons[i]);
     return steady;
 }
 
-MemoryForecast forecastOthers(const SteadyForecast &steady, int requests, Tokens held)
+MemoryForecast forecastRemoteRequests(const SteadyStateSurvival &steady, int requests, Tokens held)
 {
     MemoryForecast forecast;
     if (requests <= 0) {
         forecast.mean.fill(double(held.value()));
         return forecast;
     }
-    const double each = double(held.value()) / requests + BlockWaste;
+    const double perRequest = double(held.value()) / requests + BlockOverheadTokens;
     for (size_t i = 0; i < Horizons.size(); ++i) {
-        const double size = each + Horizons[i];
+        const double size = perRequest + Horizons[i];
         forecast.mean[i] = requests * size * steady[i];
         forecast.variance[i] = requests * size * size * steady[i] * (1 - steady[i]);
     }
     return forecast;
 }
 
-double pressure(const MemoryForecast &forecast, Tokens capacity, double sigmas)
+double memoryPressure(const MemoryForecast &forecast, Tokens capacity, double sigmas)
 {
-    double most = 0;
+    double maxTokens = 0;
     for (size_t i = 0; i < Horizons.size(); ++i) {
         const double margin = sigmas * std::sqrt(std::max(forecast.variance[i], 0.0));
-        most = std::max(most, forecast.mean[i] + margin);
+        maxTokens = std::max(maxTokens, forecast.mean[i] + margin);
     }
-    return most / double(capacity.value());
+    return maxTokens / double(capacity.value());
 }
 
-double sigmasFor(double chance)
+double normalUpperQuantile(double chance)
 {
     return std::sqrt(2.0) * boost::math::erfc_inv(2 * chance);
 }
--- a/src/placement/MemoryForecast.h
+++ b/src/placement/MemoryForecast.h
@@ -1,4 +1,3 @@
-// Defines MemoryForecast, the expected memory of requests at some moments ahead.
 #pragma once
 
 #include "placement/LengthDistribution.h"
@@ -7,11 +6,11 @@
 
 namespace cranberry {
 
-/// Moments ahead, counted in tokens that each stream generates until then.
+/// Forecast horizons, in tokens that each stream generates until then.
 constexpr std::array<double, 8> Horizons{1, 16, 48, 112, 256, 512, 1024, 2560};
 
-/// Mean and variance of the tokens resident at each of Horizons. Forecasts of independent
-/// requests add up.
+/// The predicted memory use of requests: mean and variance of the number of resident tokens at each
+/// of Horizons. Forecasts of independent requests are additive.
 struct MemoryForecast {
     std::array<double, Horizons.size()> mean{};
     std::array<double, Horizons.size()> variance{};
@@ -20,25 +19,26 @@
     MemoryForecast &operator-=(const MemoryForecast &other);
 };
 
-/// Of one request that holds @p held tokens, of which @p generated are its answer's.
-/// It grows by a token a step and leaves when its answer ends. Thread-safe.
+/// Forecast of one request that holds @p held tokens, of which @p generated belong to its answer.
+/// The request grows by one token per step and frees its memory when its answer ends. Thread-safe.
 MemoryForecast forecastRequest(const LengthDistribution &length, Tokens held, Tokens generated);
 
-/// Part of the answers under way now that still are at each of Horizons.
-using SteadyForecast = std::array<double, Horizons.size()>;
+/// Fraction of the answers now in progress that are still in progress at each of Horizons.
+using SteadyStateSurvival = std::array<double, Horizons.size()>;
 
-/// For answers of @p length at unknown points of their life. Thread-safe.
-SteadyForecast forecastSteady(const LengthDistribution &length);
+/// Fractions for answers of distribution @p length whose progress is unknown. Thread-safe.
+SteadyStateSurvival forecastSteadyState(const LengthDistribution &length);
 
-/// Of @p requests of other daemons that hold @p held tokens together. Thread-safe.
-MemoryForecast forecastOthers(const SteadyForecast &steady, int requests, Tokens held);
+/// Forecast of @p requests requests of other daemons that hold @p held tokens in total.
+/// Thread-safe.
+MemoryForecast forecastRemoteRequests(const SteadyStateSurvival &steady, int requests, Tokens held);
 
-/// The largest part of @p capacity that is filled at any horizon, with a margin of @p sigmas
+/// The largest fraction of @p capacity that is used at any horizon, including a margin of @p sigmas
 /// standard deviations. Precondition: @p capacity is positive. Thread-safe.
-double pressure(const MemoryForecast &forecast, Tokens capacity, double sigmas);
+double memoryPressure(const MemoryForecast &forecast, Tokens capacity, double sigmas);
 
-/// The margin that a normal variable passes with @p chance. Precondition: 0 < chance < 1.
-/// Thread-safe.
-double sigmasFor(double chance);
+/// Number of standard deviations above the mean that a normal variable exceeds with probability
+/// @p chance. Precondition: 0 < chance < 1. Thread-safe.
+double normalUpperQuantile(double chance);
 
 } // namespace cranberry
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -1,4 +1,3 @@
-// Defines Placement, the outcome of one placement decision.
 #pragma once
 
 #include "base/Ids.h"
@@ -10,19 +9,20 @@
 
 enum class PlacementOutcome {
     Chosen,
-    /// No target can take it now; ask again when something changes.
+    /// No usable target has capacity now; retry when the load changes.
     Wait,
-    /// No target that serves it is usable and not excluded; ask again when one comes.
-    NoneUsable,
+    /// No target of the service is both usable and not excluded; retry when one becomes usable.
+    NoUsableTarget,
 };
 
+/// The result of one placement decision.
 struct Placement {
     PlacementOutcome outcome = PlacementOutcome::Wait;
     /// Set if Chosen.
     TargetId target;
-    /// Set if Chosen: how long the answer is expected to be.
+    /// Set if Chosen: the expected length of the answer.
     Tokens expectedTokens;
-    /// The reason in key=value form for the log line of the decision.
+    /// The reason for the decision in key=value form, for the log.
     QString reason;
 };
 
--- a/src/placement/PlacementPolicy.cpp
+++ b/src/placement/PlacementPolicy.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-int requestsOn(const TargetLoad &target)
+int requestCount(const TargetLoad &target)
 {
-    return target.othersRequests + target.ownRequests;
+    return target.remoteRequests + target.ownRequests;
 }
 
-Placement chosenByRequests(const TargetLoad &target)
+Placement chosenTarget(const TargetLoad &target)
 {
     return {PlacementOutcome::Chosen,
             target.target,
             {},
-            QStringLiteral("requests=%1 own=%2").arg(requestsOn(target)).arg(target.ownRequests)};
+            QStringLiteral("requests=%1 own=%2").arg(requestCount(target)).arg(target.ownRequests)};
 }
 
 QList<TargetLoad> withoutExcluded(const QList<TargetLoad> &targets, const QSet<TargetId> &excluded)
@@ -33,27 +33,27 @@
 
 } // namespace
 
-bool givenOutByHomes(const ServiceConfiguration &service)
+bool usesHomeDaemons(const ServiceConfiguration &service)
 {
     return service.kind == ServiceKind::Model && service.policy == PolicyName::Forecast;
 }
 
 Placement placeRoundRobin(const QList<TargetLoad> &usable, quint64 draw)
 {
-    return chosenByRequests(usable[qsizetype(draw % quint64(usable.size()))]);
+    return chosenTarget(usable[qsizetype(draw % quint64(usable.size()))]);
 }
 
 Placement placeLeastRequests(const QList<TargetLoad> &usable, quint64 draw)
 {
     const auto count = usable.size();
     const auto start = qsizetype(draw % quint64(count));
-    const TargetLoad *least = &usable[start];
+    const TargetLoad *best = &usable[start];
     for (qsizetype i = 1; i < count; ++i) {
-        const TargetLoad &next = usable[(start + i) % count];
-        if (requestsOn(next) < requestsOn(*least))
-            least = &next;
+        const TargetLoad &candidate = usable[(start + i) % count];
+        if (requestCount(candidate) < requestCount(*best))
+            best = &candidate;
     }
-    return chosenByRequests(*least);
+    return chosenTarget(*best);
 }
 
 Placement placeTwoChoices(const QList<TargetLoad> &usable, quint64 draw)
@@ -61,11 +61,11 @@
     const auto count = quint64(usable.size());
     const quint64 first = draw % count;
     if (count == 1)
-        return chosenByRequests(usable.first());
+        return chosenTarget(usable.first());
     const quint64 step = 1 + (draw / count) % (count - 1);
     const TargetLoad &a = usable[qsizetype(first)];
     const TargetLoad &b = usable[qsizetype((first + step) % count)];
-    return chosenByRequests(requestsOn(b) < requestsOn(a) ? b : a);
+    return chosenTarget(requestCount(b) < requestCount(a) ? b : a);
 }
 
 Placement place(const PlacementRequest &request, const ServiceConfiguration &service,
@@ -73,7 +73,7 @@
 {
     const QList<TargetLoad> usable = withoutExcluded(targets, request.excluded);
     if (usable.isEmpty())
-        return {PlacementOutcome::NoneUsable, {}, {}, QStringLiteral("usable=0")};
+        return {PlacementOutcome::NoUsableTarget, {}, {}, QStringLiteral("usable=0")};
     switch (service.policy) {
     case PolicyName::RoundRobin:
         return placeRoundRobin(usable, draw);
--- a/src/placement/PlacementPolicy.h
+++ b/src/placement/PlacementPolicy.h
@@ -1,4 +1,3 @@
-// Defines the placement policies: free functions from what is known to a decision.
 #pragma once
 
 #include "configuration/Configuration.h"
@@ -10,21 +9,22 @@
 
 namespace cranberry {
 
-/// Whether each target of @p service has a home daemon that gives out its room. The baselines
-/// decide on every daemon for itself. Thread-safe.
-bool givenOutByHomes(const ServiceConfiguration &service);
+/// True if the capacity of each target of @p service is granted by a single daemon, the target's
+/// home. With the baseline policies every daemon decides on its own. Thread-safe.
+bool usesHomeDaemons(const ServiceConfiguration &service);
 
-/// Chooses among @p targets, which are the usable targets of the request's model, by the
-/// policy of @p service. @p draw is a fresh random number, for round_robin the count of
-/// decisions before; equal arguments give equal decisions. No I/O, no clock. Thread-safe.
+/// Chooses one of @p targets, the usable targets of the request's model, by the policy of @p
+/// service. @p draw is a new random number, or for round_robin the number of earlier decisions.
+/// Equal arguments give equal decisions. No I/O and no clock. Thread-safe.
 Placement place(const PlacementRequest &request, const ServiceConfiguration &service,
                 const QList<TargetLoad> &targets, quint64 draw);
 
-/// The targets in turn, whatever their load.
+/// Takes the targets in order, regardless of load.
 Placement placeRoundRobin(const QList<TargetLoad> &usable, quint64 draw);
-/// The target with the fewest requests, by report and own sends; ties by @p draw.
+/// Takes the target with the fewest requests, counting the load report and this daemon's own sends.
+/// @p draw breaks ties.
 Placement placeLeastRequests(const QList<TargetLoad> &usable, quint64 draw);
-/// Of two distinct targets drawn at random the one with fewer requests.
+/// Draws two distinct targets at random and takes the one with fewer requests.
 Placement placeTwoChoices(const QList<TargetLoad> &usable, quint64 draw);
 
 } // namespace cranberry
--- a/src/placement/PlacementRequest.h
+++ b/src/placement/PlacementRequest.h
@@ -1,4 +1,3 @@
-// Defines PlacementRequest, what placement knows of a request.
 #pragma once
 
 #include "base/Ids.h"
@@ -9,25 +8,25 @@
 
 namespace cranberry {
 
+/// The properties of a request that placement uses.
 struct PlacementRequest {
     RequestId request;
     ServiceId service;
     ModelId model;
     WorkspaceId workspace;
     Tokens promptTokens;
-    /// Bound on the answer's length; a bound, not a forecast.
+    /// Upper limit of the answer's length, not a prediction.
     Tokens maxTokens;
-    /// Hash of the salted start of the prompt; 0 if none.
+    /// Hash of the salted beginning of the prompt; 0 if none.
     quint64 prefixHash = 0;
-    /// True if only a target on which its prefix is wanted will do.
+    /// True if only targets that are preferred for its prefix may be chosen.
     bool preferredOnly = false;
-    /// Data centre of the daemon that decides.
+    /// Data centre of the daemon that makes the decision.
     DataCentreId dataCentre;
-    /// Targets that this request must not go to again.
+    /// Targets to which this request must not be sent again.
     QSet<TargetId> excluded;
-    /// Set by the target table: how much memory it is expected to take, and how many tokens it
-    /// is expected to generate.
-    MemoryForecast growth;
+    /// Set by TargetTable: the predicted memory use and answer length.
+    MemoryForecast expectedMemory;
     Tokens expectedTokens;
 };
 
--- a/src/placement/TargetLeavingNews.h
+++ b/src/placement/TargetLeavingNews.h
@@ -1,4 +1,3 @@
-// Defines TargetLeavingNews, by which daemons tell each other that a target leaves.
 #pragma once
 
 #include "base/Ids.h"
@@ -10,16 +9,17 @@
 
 namespace cranberry {
 
+/// The message that tells other daemons that a target is shutting down.
 struct TargetLeavingNews {
     TargetId target;
-    /// The start of the target that leaves; a later start of it is not meant.
+    /// The incarnation that is leaving; later incarnations of the target are not affected.
     Incarnation incarnation;
 };
 
 /// Thread-safe.
 QCborMap toCbor(const TargetLeavingNews &news);
 
-/// Nothing if @p body is not such news. Thread-safe.
+/// Empty if @p body is malformed. Thread-safe.
 std::optional<TargetLeavingNews> targetLeavingNewsFrom(const QCborMap &body);
 
 } // namespace cranberry
--- a/src/placement/TargetLoad.h
+++ b/src/placement/TargetLoad.h
@@ -1,4 +1,3 @@
-// Defines TargetLoad, what one daemon believes of one target at the moment of a decision.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,29 +6,33 @@
 
 namespace cranberry {
 
-/// From the target's own lagging report and from this daemon's own sends since.
+/// One daemon's estimate of the load of one target at the time of a decision. Combines the target's
+/// last load report with this daemon's sends since that report.
 struct TargetLoad {
     TargetId target;
     DataCentreId dataCentre;
-    /// Tokens of other daemons' requests by the last report, and of this daemon's requests now.
+    /// Resident tokens: of other daemons' requests as last reported, and of this daemon's requests
+    /// now.
     Tokens residentTokens;
     Tokens capacityTokens;
     int running = 0;
     int waiting = 0;
-    /// Age of the report at the moment of the decision.
+    /// Age of the load report at the time of the decision.
     Milliseconds reportAge{0};
-    /// Sends of this daemon that are under way.
+    /// Requests of this daemon in progress on the target.
     int ownRequests = 0;
-    /// Requests of other daemons by the last report, running or waiting.
-    int othersRequests = 0;
+    /// Requests of other daemons, running or waiting: those in the last report and those granted by
+    /// this daemon.
+    int remoteRequests = 0;
     /// Tokens that this daemon's requests hold on the target now.
     Tokens ownResidentTokens;
-    /// Expected memory of all requests on the target, this daemon's and others'.
+    /// Predicted memory use of all requests on the target, of this daemon and of others.
     MemoryForecast forecast;
-    /// Prompt tokens of this daemon's sends that have not yielded a first token yet.
+    /// Prompt tokens of requests that have not produced a first token: sent or granted by this
+    /// daemon.
     Tokens ownPrefillTokens;
-    /// True if the prefix hashes to this target: every daemon sends it here first, so that it is
-    /// cached on few targets.
+    /// True if the target is among the few that the prefix hashes to. Every daemon prefers these
+    /// targets, so the prefix is cached on few targets.
     bool preferredForPrefix = false;
 };
 
--- a/src/placement/TargetPoller.cpp
+++ b/src/placement/TargetPoller.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int MissesUntilDead = 3;
+constexpr int FailuresUntilDead = 3;
 constexpr Milliseconds PollTimeout{1500};
 
 LoadReport parseReport(const QByteArray &body)
@@ -43,8 +43,8 @@
     , m_client(client)
     , m_table(table)
     , m_interval(interval)
-    , m_changed(std::move(changed))
-    , m_ticks(timers.every(interval, [this] { pollAll(); }))
+    , m_changedCallback(std::move(changed))
+    , m_pollTimer(timers.every(interval, [this] { pollAll(); }))
 {
 }
 
@@ -52,79 +52,82 @@
 
 void TargetPoller::setConfiguration(const Configuration &configuration)
 {
-    std::map<TargetId, Polled> polled;
+    std::map<TargetId, PolledTarget> polled;
     for (auto target = configuration.targets.cbegin(); target != configuration.targets.cend();
          ++target) {
         if (target->models.isEmpty())
             continue;
-        const auto known = m_polled.find(target.key());
-        const bool same = known != m_polled.end() && known->second.endpoint == target->endpoint;
-        if (same)
+        const auto known = m_polledTargets.find(target.key());
+        const bool unchanged =
+            known != m_polledTargets.end() && known->second.endpoint == target->endpoint;
+        if (unchanged)
             polled.emplace(target.key(), std::move(known->second));
         else
             polled[target.key()].endpoint = target->endpoint;
     }
-    m_polled = std::move(polled);
+    m_polledTargets = std::move(polled);
     pollAll();
 }
 
 void TargetPoller::pollAll()
 {
-    for (auto &[target, polled] : m_polled) {
+    for (auto &[target, polled] : m_polledTargets) {
         if (!polled.exchange)
             poll(target, polled);
     }
 }
 
-void TargetPoller::poll(const TargetId &target, Polled &polled)
+void TargetPoller::poll(const TargetId &target, PolledTarget &polled)
 {
     HttpExchangeOptions options;
     options.timeout = PollTimeout;
     options.reuseConnection = true;
-    polled.exchange = m_client.fetch(
-        polled.endpoint, {"GET", "/load", {}, {}, {}}, options,
-        [this, target](HttpExchangeEnd end, const HttpResponse &response) {
-            answered(target, end == HttpExchangeEnd::Complete, response.status, response.body);
-        });
+    polled.exchange =
+        m_client.fetch(polled.endpoint, {"GET", "/load", {}, {}, {}}, options,
+                       [this, target](HttpExchangeEnd end, const HttpResponse &response) {
+                           handleResponse(target, end == HttpExchangeEnd::Complete, response.status,
+                                          response.body);
+                       });
 }
 
-void TargetPoller::answered(const TargetId &target, bool whole, int status, const QByteArray &body)
+void TargetPoller::handleResponse(const TargetId &target, bool isComplete, int status,
+                                  const QByteArray &body)
 {
-    const auto found = m_polled.find(target);
-    if (found == m_polled.end())
+    const auto found = m_polledTargets.find(target);
+    if (found == m_polledTargets.end())
         return;
     const std::unique_ptr<HttpExchange> ended = std::move(found->second.exchange);
-    if (!whole || status != 200) {
-        missed(target, found->second);
+    if (!isComplete || status != 200) {
+        handleFailure(target, found->second);
         return;
     }
-    found->second.misses = 0;
+    found->second.consecutiveFailures = 0;
     const bool wasUsable = m_table.usable(target);
-    m_table.markBack(target);
+    m_table.markAlive(target);
     const LoadReport report = parseReport(body);
     m_table.reportReceived(target, report, m_timers.now());
     const bool isUsable = m_table.usable(target);
     if (wasUsable && report.leaving)
-        targetLeaves(target, report.incarnation);
+        notifyLeaving(target, report.incarnation);
     else if (!wasUsable && isUsable)
         logEvent(LogLevel::Info, EventId::TargetBack, {{"target", target.text()}});
-    m_changed();
+    m_changedCallback();
 }
 
-void TargetPoller::targetLeaves(const TargetId &target, Incarnation incarnation)
+void TargetPoller::notifyLeaving(const TargetId &target, Incarnation incarnation)
 {
     logEvent(LogLevel::Info, EventId::TargetLeaving, {{"target", target.text()}});
-    if (m_leaving)
-        m_leaving(target, incarnation);
+    if (m_leavingCallback)
+        m_leavingCallback(target, incarnation);
 }
 
-void TargetPoller::missed(const TargetId &target, Polled &polled)
+void TargetPoller::handleFailure(const TargetId &target, PolledTarget &polled)
 {
-    ++polled.misses;
-    if (polled.misses < MissesUntilDead || !m_table.markDead(target))
+    ++polled.consecutiveFailures;
+    if (polled.consecutiveFailures < FailuresUntilDead || !m_table.markDead(target))
         return;
     logEvent(LogLevel::Warning, EventId::TargetDead, {{"target", target.text()}});
-    m_changed();
+    m_changedCallback();
 }
 
 } // namespace cranberry
--- a/src/placement/TargetPoller.h
+++ b/src/placement/TargetPoller.h
@@ -1,4 +1,3 @@
-// Defines TargetPoller, which asks targets for their load.
 #pragma once
 
 #include "base/Ids.h"
@@ -18,13 +17,14 @@
 class TimerSubscription;
 struct Configuration;
 
-/// Asks each model target for its load, one call at a time, and tells the target table; after
-/// several calls in a row without an answer the target counts as dead until it answers.
+/// Polls the load of each model target, with at most one call to a target at a time, and passes the
+/// reports to the target table. After several consecutive failed calls it marks the target dead
+/// until a call succeeds.
 /// Thread safety: only from the thread of the event loop.
 class TargetPoller
 {
 public:
-    /// Told after each report and after a target was taken for dead.
+    /// Called after each report and after a target is marked dead.
     using ChangedCallback = std::function<void()>;
 
     /// Precondition: the references outlive the poller.
@@ -34,36 +34,37 @@
     TargetPoller(const TargetPoller &) = delete;
     TargetPoller &operator=(const TargetPoller &) = delete;
 
-    /// @p callback is told once for each incarnation of a target that reports that it leaves.
+    /// @p callback is called once for each incarnation of a target that reports that it is leaving.
     void onLeaving(std::function<void(const TargetId &, Incarnation)> callback)
     {
-        m_leaving = std::move(callback);
+        m_leavingCallback = std::move(callback);
     }
 
-    /// Polls the model targets of @p configuration from now on.
+    /// Replaces the polled targets by the model targets of @p configuration and polls at once.
     void setConfiguration(const Configuration &configuration);
 
 private:
-    struct Polled {
+    struct PolledTarget {
         HttpEndpoint endpoint;
         std::unique_ptr<HttpExchange> exchange;
-        int misses = 0;
+        int consecutiveFailures = 0;
     };
 
     void pollAll();
-    void poll(const TargetId &target, Polled &polled);
-    void answered(const TargetId &target, bool whole, int status, const QByteArray &body);
-    void targetLeaves(const TargetId &target, Incarnation incarnation);
-    void missed(const TargetId &target, Polled &polled);
+    void poll(const TargetId &target, PolledTarget &polled);
+    void handleResponse(const TargetId &target, bool isComplete, int status,
+                        const QByteArray &body);
+    void notifyLeaving(const TargetId &target, Incarnation incarnation);
+    void handleFailure(const TargetId &target, PolledTarget &polled);
 
     TimerService &m_timers;
     HttpClient &m_client;
     TargetTable &m_table;
     Milliseconds m_interval;
-    ChangedCallback m_changed;
-    std::function<void(const TargetId &, Incarnation)> m_leaving;
-    std::map<TargetId, Polled> m_polled;
-    std::unique_ptr<TimerSubscription> m_ticks;
+    ChangedCallback m_changedCallback;
+    std::function<void(const TargetId &, Incarnation)> m_leavingCallback;
+    std::map<TargetId, PolledTarget> m_polledTargets;
+    std::unique_ptr<TimerSubscription> m_pollTimer;
 };
 
 } // namespace cranberry
--- a/src/placement/TargetState.cpp
+++ b/src/placement/TargetState.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Targets on which a prefix is wanted; two leave a choice when one is crowded.
-constexpr size_t PrefixTargets = 2;
+/// Two preferred targets for a prefix leave an alternative when one is full.
+constexpr size_t PreferredTargetsPerPrefix = 2;
 } // namespace
 
 bool isUsable(const TargetState &state)
@@ -20,20 +20,20 @@
     return state.configured && !state.dead && !state.leaving;
 }
 
-bool isOwn(const TargetState &state, const VmId &self)
+bool isHomeDaemon(const TargetState &state, const VmId &self)
 {
     return state.home.isEmpty() || state.home == self;
 }
 
-quint64 hashOf(const TargetId &target)
+quint64 targetIdHash(const TargetId &target)
 {
     const QByteArray hash =
         QCryptographicHash::hash(target.text().toUtf8(), QCryptographicHash::Sha1);
     return qFromBigEndian<quint64>(hash.constData());
 }
 
-/// Rank of a target for a prefix: rendezvous hashing with the finalizer of SplitMix64, since
-/// it is computed for every target in every decision.
+/// Rendezvous hashing with the finalizer of SplitMix64, which is cheap enough to compute for every
+/// target in every decision.
 quint64 prefixRank(quint64 idHash, quint64 prefixHash)
 {
     quint64 mixed = idHash ^ prefixHash;
@@ -42,10 +42,10 @@
     return mixed ^ (mixed >> 31);
 }
 
-/// The least rank that is among the first PrefixTargets.
-quint64 leastPreferredRank(const std::vector<const TargetState *> &states, quint64 prefixHash)
+/// The lowest rank among the first PreferredTargetsPerPrefix usable targets.
+quint64 minPreferredRank(const std::vector<const TargetState *> &states, quint64 prefixHash)
 {
-    std::array<quint64, PrefixTargets> first{};
+    std::array<quint64, PreferredTargetsPerPrefix> first{};
     for (const TargetState *state : states) {
         const quint64 rank = isUsable(*state) ? prefixRank(state->idHash, prefixHash) : 0;
         if (rank > first.back()) {
@@ -56,7 +56,7 @@
     return first.back();
 }
 
-Tokens generatedBy(const Grant &grant, MonotonicTime now)
+Tokens estimatedGeneratedTokens(const Grant &grant, MonotonicTime now)
 {
     if (grant.millisecondsPerToken <= 0)
         return Tokens(0);
@@ -64,9 +64,9 @@
     return Tokens(qint64(std::max(0.0, passed.count()) / grant.millisecondsPerToken));
 }
 
-void countGrant(TargetState &state, const Grant &grant, MonotonicTime now)
+void addToGrantSums(TargetState &state, const Grant &grant, MonotonicTime now)
 {
-    const Tokens generated = generatedBy(grant, now);
+    const Tokens generated = estimatedGeneratedTokens(grant, now);
     const Tokens held = grant.promptTokens + generated;
     state.grantForecast += forecastRequest(grant.length, held, generated);
     state.grantResidentTokens += held;
@@ -74,36 +74,37 @@
         state.grantPrefillTokens += grant.promptTokens;
 }
 
-void countGrants(TargetState &state, MonotonicTime now)
+void recomputeGrantSums(TargetState &state, MonotonicTime now)
 {
     state.grantForecast = {};
     state.grantResidentTokens = Tokens(0);
     state.grantPrefillTokens = Tokens(0);
-    state.grantsCountedAt = now;
+    state.grantSumsUpdatedAt = now;
     for (const Grant &grant : state.grants)
-        countGrant(state, grant, now);
+        addToGrantSums(state, grant, now);
 }
 
-TargetLoad loadOf(const TargetState &state, const SteadyForecast &steady, MonotonicTime now)
+TargetLoad loadOf(const TargetState &state, const SteadyStateSurvival &steady, MonotonicTime now)
 {
     TargetLoad load;
     load.target = state.target;
     load.dataCentre = state.dataCentre;
-    load.residentTokens = state.othersResidentTokens + state.ownResidentTokens;
+    load.residentTokens = state.remoteResidentTokens + state.ownResidentTokens;
     load.capacityTokens = state.report.capacityTokens;
     load.running = state.report.running;
     load.waiting = state.report.waiting;
-    load.reportAge = std::chrono::duration_cast<Milliseconds>(now - state.reportMadeAt);
+    load.reportAge = std::chrono::duration_cast<Milliseconds>(now - state.reportCreatedAt);
     load.ownRequests = int(state.ownAttempts.size());
-    load.othersRequests = state.othersRequests;
+    load.remoteRequests = state.remoteRequests;
     load.ownResidentTokens = state.ownResidentTokens;
     load.ownPrefillTokens = state.ownPrefillTokens;
-    load.forecast = forecastOthers(steady, state.othersRequests, state.othersResidentTokens);
+    load.forecast =
+        forecastRemoteRequests(steady, state.remoteRequests, state.remoteResidentTokens);
     load.forecast += state.ownForecast;
     load.forecast += state.grantForecast;
     load.residentTokens += state.grantResidentTokens;
     load.ownPrefillTokens += state.grantPrefillTokens;
-    load.othersRequests += int(state.grants.size());
+    load.remoteRequests += int(state.grants.size());
     return load;
 }
 
--- a/src/placement/TargetTable.cpp
+++ b/src/placement/TargetTable.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-/// Sends that ended are needed only until a report made after their end arrives.
-constexpr size_t EndedSends = 256;
-/// A forecast is renewed each time a request has gained so many tokens.
-constexpr qint64 TokensBetweenForecasts = 8;
-/// Weight of the newest answer in the mean pace of a service.
-constexpr double PaceWeight = 0.02;
-/// From a grant to the start of the granted send on the target.
-constexpr Milliseconds GrantFlight{20};
-/// How long the sums over a target's grants are used; a request gains a few tokens in it.
-constexpr Milliseconds GrantCountLifetime{40};
-/// A grant whose request has most probably ended, or that is older than this, is forgotten.
-constexpr double LeastGrantSurvival = 0.01;
-constexpr Milliseconds GrantLifetime{600'000};
-/// How much worse, as a part of its memory, another daemon's target may look before a request
-/// is asked of its home: each ask is a message.
-constexpr double OwnTargetBonus = 0.05;
+/// Ended sends are needed only until a report created after their end arrives.
+constexpr size_t MaxEndedSends = 256;
+/// Number of generated tokens after which the forecast of an attempt is refreshed.
+constexpr qint64 ForecastRefreshTokens = 8;
+/// Weight of the newest sample in the mean time per token of a service.
+constexpr double PaceSmoothingFactor = 0.02;
+/// Time from a grant until the granted request runs on the target.
+constexpr Milliseconds GrantToSendDelay{20};
+/// Maximum age of the sums over a target's grants; a request generates a few tokens in this time.
+constexpr Milliseconds GrantSumsMaxAge{40};
+/// A grant expires when its request has ended with high probability, or at the maximum age.
+constexpr double MinGrantSurvival = 0.01;
+constexpr Milliseconds MaxGrantAge{600'000};
+/// Score advantage, as a fraction of a target's memory, of targets whose home is this daemon: a
+/// grant from another home costs a message.
+constexpr double LocalHomeBonus = 0.05;
 
 LengthKey lengthKey(const PlacementRequest &request)
 {
@@ -71,7 +71,7 @@
         state.dataCentre = it->dataCentre;
         state.models = it->models;
         state.configured = true;
-        state.idHash = hashOf(it.key());
+        state.idHash = targetIdHash(it.key());
     }
     for (auto it = m_targets.begin(); it != m_targets.end();) {
         const bool gone = !it->second.configured && it->second.ownAttempts.isEmpty();
@@ -119,7 +119,7 @@
     state->incarnation = report.incarnation;
     if (newer) {
         state->dead = false;
-        forgetGrants(*state);
+        clearGrants(*state);
     }
     if (newer && report.incarnation > state->leavingIncarnation)
         state->leaving = false;
@@ -128,45 +128,45 @@
         state->leavingIncarnation = report.incarnation;
     }
     state->report = report;
-    state->reportMadeAt = now - report.age;
-    dropOldGrants(*state, now);
-    subtractOwn(*state, report);
+    state->reportCreatedAt = now - report.age;
+    expireGrants(*state, now);
+    updateRemoteLoad(*state, report);
 }
 
-// A report counts this daemon's requests too, those that ended after it was made included;
-// what is left belongs to other daemons.
-void TargetTable::subtractOwn(TargetState &state, const LoadReport &report)
+// A report includes this daemon's requests, also those that ended after it was created. The
+// remainder belongs to other daemons.
+void TargetTable::updateRemoteLoad(TargetState &state, const LoadReport &report)
 {
-    const MonotonicTime madeAt = state.reportMadeAt;
+    const MonotonicTime createdAt = state.reportCreatedAt;
     Tokens resident = report.residentTokens;
     int requests = report.running + report.waiting;
     for (const AttemptId &id : std::as_const(state.ownAttempts)) {
         const Attempt &attempt = m_attempts[id];
-        if (attempt.sentAt <= madeAt) {
+        if (attempt.sentAt <= createdAt) {
             resident -= attempt.request.promptTokens + Tokens(attempt.generated);
             --requests;
         }
     }
-    while (!state.endedSends.empty() && state.endedSends.front().endedAt <= madeAt)
+    while (!state.endedSends.empty() && state.endedSends.front().endedAt <= createdAt)
         state.endedSends.pop_front();
     for (const OwnSend &send : state.endedSends) {
-        if (send.sentAt <= madeAt) {
+        if (send.sentAt <= createdAt) {
             resident -= send.tokens;
             --requests;
         }
     }
     for (const Grant &grant : state.grants) {
-        if (grant.grantedAt + GrantFlight <= madeAt) {
-            resident -= grant.promptTokens + generatedBy(grant, madeAt);
+        if (grant.grantedAt + GrantToSendDelay <= createdAt) {
+            resident -= grant.promptTokens + estimatedGeneratedTokens(grant, createdAt);
             --requests;
         }
     }
-    state.othersResidentTokens = std::max(resident, Tokens(0));
-    state.othersRequests = std::max(requests, 0);
+    state.remoteResidentTokens = std::max(resident, Tokens(0));
+    state.remoteRequests = std::max(requests, 0);
 }
 
-// What ran on an earlier incarnation is gone with it.
-void TargetTable::forgetGrants(TargetState &state)
+// Requests of an earlier incarnation ended with it.
+void TargetTable::clearGrants(TargetState &state)
 {
     for (const Grant &grant : state.grants)
         m_grants.remove(grant.request);
@@ -187,13 +187,13 @@
     return found == m_byService.constEnd() ? none : *found;
 }
 
-PlacementRequest TargetTable::sized(const PlacementRequest &request) const
+PlacementRequest TargetTable::withForecast(const PlacementRequest &request) const
 {
-    PlacementRequest sized = request;
+    PlacementRequest result = request;
     const LengthDistribution length = m_lengths.distribution(lengthKey(request), request.maxTokens);
-    sized.growth = forecastRequest(length, request.promptTokens, Tokens(0));
-    sized.expectedTokens = Tokens(qint64(remainingLength(length, Tokens(0)).mean));
-    return sized;
+    result.expectedMemory = forecastRequest(length, request.promptTokens, Tokens(0));
+    result.expectedTokens = Tokens(qint64(remainingLength(length, Tokens(0)).mean));
+    return result;
 }
 
 Placement TargetTable::choose(const PlacementRequest &request, const ServiceConfiguration &service,
@@ -201,14 +201,14 @@
 {
     StateList own;
     for (const TargetState *state : candidates(request)) {
-        if (givenOutByHomes(service) && !isOwn(*state, m_self))
+        if (usesHomeDaemons(service) && !isHomeDaemon(*state, m_self))
             continue;
         own.push_back(state);
-        if (!state->grants.empty() && now - state->grantsCountedAt > GrantCountLifetime)
-            countGrants(*find(state->target), now);
+        if (!state->grants.empty() && now - state->grantSumsUpdatedAt > GrantSumsMaxAge)
+            recomputeGrantSums(*find(state->target), now);
     }
-    const bool inTurn = service.policy == PolicyName::RoundRobin;
-    const quint64 draw = inTurn ? m_turns[request.service]++ : random;
+    const bool isRoundRobin = service.policy == PolicyName::RoundRobin;
+    const quint64 draw = isRoundRobin ? m_roundRobinCounters[request.service]++ : random;
     Placement placement = place(request, service, loads(own, request, now), draw);
     placement.expectedTokens = request.expectedTokens;
     return placement;
@@ -219,7 +219,7 @@
                               quint64 random)
 {
     const std::lock_guard lock(m_mutex);
-    Placement placement = choose(sized(request), service, now, random);
+    Placement placement = choose(withForecast(request), service, now, random);
     if (placement.outcome == PlacementOutcome::Chosen)
         recordSend(placement.target, attempt, request, now);
     return placement;
@@ -230,16 +230,16 @@
                                    quint64 random)
 {
     const std::lock_guard lock(m_mutex);
-    const PlacementRequest sizedRequest = sized(request);
-    Placement placement = choose(sizedRequest, service, now, random);
+    const PlacementRequest requestWithForecast = withForecast(request);
+    Placement placement = choose(requestWithForecast, service, now, random);
     if (placement.outcome == PlacementOutcome::Chosen) {
-        endGrant(request.request, now); // one that asks again does not use what it was granted
+        endGrant(request.request, now); // a repeated request replaces its unused grant
         TargetState *state = find(placement.target);
         state->grants.push_back({request.request, now, request.promptTokens,
                                  m_lengths.distribution(lengthKey(request), request.maxTokens),
                                  m_millisecondsPerToken.value(request.service)});
         m_grants.insert(request.request, placement.target);
-        countGrant(*state, state->grants.back(), now);
+        addToGrantSums(*state, state->grants.back(), now);
     }
     return placement;
 }
@@ -259,34 +259,35 @@
     const auto found = std::find_if(state->grants.begin(), state->grants.end(), same);
     if (found == state->grants.end())
         return;
-    const Tokens held = found->promptTokens + generatedBy(*found, now);
+    const Tokens held = found->promptTokens + estimatedGeneratedTokens(*found, now);
     state->endedSends.push_back({found->grantedAt, now, held});
     state->grants.erase(found);
-    countGrants(*state, now);
+    recomputeGrantSums(*state, now);
 }
 
-// The message that ends a grant may be lost, and the one who asked may have died. The report
-// still shows a request that runs on, as another daemon's.
-void TargetTable::dropOldGrants(TargetState &state, MonotonicTime now)
+// The message that ends a grant can get lost, and the requesting daemon can crash. A request that
+// is still running then appears in the load reports as one of another daemon.
+void TargetTable::expireGrants(TargetState &state, MonotonicTime now)
 {
     const auto old = [&](const Grant &grant) {
         const bool gone =
-            survivalAt(grant.length, double(generatedBy(grant, now).value())) < LeastGrantSurvival
-            || now - grant.grantedAt > GrantLifetime;
+            survivalAt(grant.length, double(estimatedGeneratedTokens(grant, now).value()))
+                < MinGrantSurvival
+            || now - grant.grantedAt > MaxGrantAge;
         if (gone)
             m_grants.remove(grant.request);
         return gone;
     };
     state.grants.erase(std::remove_if(state.grants.begin(), state.grants.end(), old),
                        state.grants.end());
-    countGrants(state, now);
+    recomputeGrantSums(state, now);
 }
 
 VmId TargetTable::suggestHome(const PlacementRequest &request, const ServiceConfiguration &service,
                               const QList<VmId> &tried, MonotonicTime now, quint64 random) const
 {
     const std::lock_guard lock(m_mutex);
-    const PlacementRequest sizedRequest = sized(request);
+    const PlacementRequest requestWithForecast = withForecast(request);
     const ForecastSettings settings = forecastSettings(service);
     const QList<TargetLoad> usable = loads(candidates(request), request, now);
     const auto count = usable.size();
@@ -297,8 +298,8 @@
         const TargetState *state = find(load.target);
         if (request.excluded.contains(load.target) || tried.contains(state->home))
             continue;
-        const double bonus = isOwn(*state, m_self) ? OwnTargetBonus : 0;
-        const double score = placementScore(sizedRequest, settings, load) - bonus;
+        const double bonus = isHomeDaemon(*state, m_self) ? LocalHomeBonus : 0;
+        const double score = placementScore(requestWithForecast, settings, load) - bonus;
         if (best.isEmpty() || score < bestScore) {
             best = state->home;
             bestScore = score;
@@ -349,7 +350,7 @@
         state->ownPrefillTokens -= found->request.promptTokens;
     ++found->generated;
     state->ownResidentTokens += Tokens(1);
-    if (found->generated % TokensBetweenForecasts == 0)
+    if (found->generated % ForecastRefreshTokens == 0)
         refreshForecast(*found, *state);
 }
 
@@ -366,43 +367,44 @@
     if (found->generated == 0)
         state->ownPrefillTokens -= found->request.promptTokens;
     state->endedSends.push_back({found->sentAt, now, held});
-    if (state->endedSends.size() > EndedSends)
+    if (state->endedSends.size() > MaxEndedSends)
         state->endedSends.pop_front();
     state->ownForecast -= found->forecast;
     if (state->ownAttempts.isEmpty())
-        state->ownForecast = {}; // drops what rounding left
+        state->ownForecast = {}; // discards accumulated rounding errors
     if (end == AttemptEnd::Finished) {
-        m_lengths.finished(lengthKey(found->request), Tokens(found->generated));
-        learnPace(found->request.service, found->generated, now - found->sentAt);
+        m_lengths.addCompleted(lengthKey(found->request), Tokens(found->generated));
+        updatePace(found->request.service, found->generated, now - found->sentAt);
     } else if (found->generated > 0)
-        m_lengths.cutOff(lengthKey(found->request), Tokens(found->generated));
+        m_lengths.addCensored(lengthKey(found->request), Tokens(found->generated));
     const TargetId target = found->target;
     m_attempts.erase(found);
     if (!state->configured && state->ownAttempts.isEmpty())
         m_targets.erase(target);
 }
 
-void TargetTable::learnPace(const ServiceId &service, qint64 tokens, MonotonicTime::duration took)
+void TargetTable::updatePace(const ServiceId &service, qint64 tokens, MonotonicTime::duration took)
 {
     if (tokens <= 0)
         return;
     const std::chrono::duration<double, std::milli> milliseconds = took;
     const double pace = milliseconds.count() / double(tokens);
     double &mean = m_millisecondsPerToken[service];
-    mean = mean > 0 ? mean + (pace - mean) * PaceWeight : pace;
+    mean = mean > 0 ? mean + (pace - mean) * PaceSmoothingFactor : pace;
 }
 
 Milliseconds TargetTable::expectedAnswerTime(const PlacementRequest &request) const
 {
     const std::lock_guard lock(m_mutex);
     const double pace = m_millisecondsPerToken.value(request.service);
-    const double tokens = double(sized(request).expectedTokens.value());
+    const double tokens = double(withForecast(request).expectedTokens.value());
     return Milliseconds(qint64(pace * tokens));
 }
 
-SteadyForecast TargetTable::steadyForecast(const ServiceId &service, const ModelId &model) const
+SteadyStateSurvival TargetTable::steadyStateForecast(const ServiceId &service,
+                                                     const ModelId &model) const
 {
-    return forecastSteady(m_lengths.distribution({service, model, {}}, Tokens(0)));
+    return forecastSteadyState(m_lengths.distribution({service, model, {}}, Tokens(0)));
 }
 
 } // namespace cranberry
--- a/src/placement/TargetTable.h
+++ b/src/placement/TargetTable.h
@@ -1,4 +1,3 @@
-// Defines TargetTable, what this daemon knows of the targets and of its own sends to them.
 #pragma once
 
 #include "configuration/Configuration.h"
@@ -20,8 +19,9 @@
 
 struct TargetState;
 
-/// Thread safety: every method is thread-safe. Its mutex is a leaf lock (docs/LOCKS.md): it is
-/// never held while calling out.
+/// The loads of all targets and this daemon's attempts on them.
+/// Thread safety: every method is thread-safe. The mutex is a leaf lock (docs/LOCKS.md): no other
+/// code is called while it is held.
 class TargetTable
 {
 public:
@@ -30,65 +30,67 @@
     TargetTable(const TargetTable &) = delete;
     TargetTable &operator=(const TargetTable &) = delete;
 
-    /// Takes over the targets of @p configuration. Sends under way to a target that went are
-    /// still followed to their end.
+    /// Replaces the targets by those of @p configuration. Attempts in progress on a removed target
+    /// are still tracked until they end.
     void setConfiguration(const Configuration &configuration);
 
-    /// Makes each target's home the one of @p members that its id hashes to; decide() and
-    /// decideGrant() then give out only the targets whose home is @p self. Without members
-    /// every target is given out. Daemons with other views of the members may both be home of
-    /// a target for a while: that costs preemptions, never correctness.
+    /// Assigns each target to a home daemon, one of @p members, by rendezvous hashing of the
+    /// target's id. decide() and decideGrant() then choose only targets whose home is @p self.
+    /// Without members they choose any target. While daemons have different member views, a target
+    /// may have two homes; this can cause preemptions but no incorrect results.
     void setMembers(const VmId &self, const QList<VmId> &members);
 
-    /// Records what @p target said; a report of an older incarnation than known is dropped.
+    /// Records the load report of @p target. A report of an incarnation older than the known one is
+    /// dropped.
     void reportReceived(const TargetId &target, const LoadReport &report, MonotonicTime now);
 
-    /// Decides by the policy of @p service and, if a target is chosen, records the send of
-    /// @p attempt under the same lock, so that concurrent decisions see each other.
-    /// Precondition: @p attempt was not used before. The caller must tell its end.
+    /// Decides by the policy of @p service. If a target is chosen, the send of @p attempt is
+    /// recorded under the same lock, so that concurrent decisions take each other into account.
+    /// Precondition: @p attempt is new. The caller must call attemptEnded().
     Placement decide(const AttemptId &attempt, const PlacementRequest &request,
                      const ServiceConfiguration &service, MonotonicTime now, quint64 random);
 
-    /// As decide(), for another daemon that will send. Its send is seen in load reports later;
-    /// until then the room stays taken.
+    /// As decide(), on behalf of another daemon that makes the send. The send appears in later load
+    /// reports; until then the grant keeps the capacity reserved.
     Placement decideGrant(const PlacementRequest &request, const ServiceConfiguration &service,
                           MonotonicTime now, quint64 random);
 
-    /// Ends what decideGrant() recorded for @p request; ignored if unknown.
+    /// Ends the grant that decideGrant() recorded for @p request; ignored if unknown.
     void grantEnded(const RequestId &request, MonotonicTime now);
 
-    /// The home, not among @p tried, of the target that looks best for @p request by the
-    /// lagging reports and own sends; empty if none is usable.
+    /// The home daemon, not among @p tried, of the target with the best score for @p request, by
+    /// the load reports and this daemon's attempts. Empty if no target is usable.
     VmId suggestHome(const PlacementRequest &request, const ServiceConfiguration &service,
                      const QList<VmId> &tried, MonotonicTime now, quint64 random) const;
 
-    /// Records a send that was not chosen by decide(), such as a granted or a resumed one.
+    /// Records a send that decide() did not choose, such as a granted or a resumed one.
     void attemptSent(const TargetId &target, const AttemptId &attempt,
                      const PlacementRequest &request, MonotonicTime now);
-    /// Counts one generated token of @p attempt. Unknown attempts are ignored.
+    /// Counts one generated token of @p attempt; ignored if unknown.
     void tokenReceived(const AttemptId &attempt);
-    /// How long an answer to @p request is expected to take once it is sent; 0 until answers
-    /// of its service have ended.
+    /// The expected time from the send of @p request to the end of its answer; 0 until an answer of
+    /// its service has completed.
     Milliseconds expectedAnswerTime(const PlacementRequest &request) const;
-    /// Forgets @p attempt. Unknown attempts are ignored, so it may be told twice.
+    /// Removes @p attempt; ignored if unknown, so it may be called twice.
     void attemptEnded(const AttemptId &attempt, AttemptEnd end, MonotonicTime now);
 
-    /// Takes @p target out until it is seen with a newer incarnation than @p incarnation; 0
-    /// stands for the one known now. Ignored if a newer one is known. True if it was in before.
+    /// Excludes @p target until it is seen with an incarnation newer than @p incarnation; 0 stands
+    /// for the currently known one. Ignored if a newer incarnation is known. Returns true if the
+    /// target was not marked leaving before.
     bool markLeaving(const TargetId &target, Incarnation incarnation);
-    /// Takes @p target out until markBack() or a report of a newer incarnation. True if it was
-    /// in before.
+    /// Excludes @p target until markAlive() or a report of a newer incarnation. Returns true if it
+    /// was not marked dead before.
     bool markDead(const TargetId &target);
-    /// Undoes markDead(), not markLeaving().
-    void markBack(const TargetId &target);
+    /// Reverts markDead(), but not markLeaving().
+    void markAlive(const TargetId &target);
 
-    /// True if new work may go to @p target.
+    /// True if new requests may be sent to @p target.
     bool usable(const TargetId &target) const;
-    /// True if @p target was seen leaving and not started anew since; for the status page.
+    /// True if @p target is leaving and no newer incarnation has been seen; for the status page.
     bool isLeaving(const TargetId &target) const;
-    /// True between markDead() and markBack(); for the status page.
+    /// True between markDead() and markAlive(); for the status page.
     bool isDead(const TargetId &target) const;
-    /// The incarnation of @p target as last reported; 0 if unknown.
+    /// The last reported incarnation of @p target; 0 if unknown.
     Incarnation incarnation(const TargetId &target) const;
 
     /// The usable targets that serve @p model, ordered by id.
@@ -107,21 +109,21 @@
     const TargetState *find(const TargetId &target) const;
     void indexTargets();
     void assignHomes();
-    PlacementRequest sized(const PlacementRequest &request) const;
+    PlacementRequest withForecast(const PlacementRequest &request) const;
     Placement choose(const PlacementRequest &request, const ServiceConfiguration &service,
                      MonotonicTime now, quint64 random);
     QList<TargetLoad> loads(const StateList &states, const PlacementRequest &request,
                             MonotonicTime now) const;
-    SteadyForecast steadyForecast(const ServiceId &service, const ModelId &model) const;
+    SteadyStateSurvival steadyStateForecast(const ServiceId &service, const ModelId &model) const;
     void refreshForecast(Attempt &attempt, TargetState &state);
     const StateList &candidates(const PlacementRequest &request) const;
-    void learnPace(const ServiceId &service, qint64 tokens, MonotonicTime::duration took);
+    void updatePace(const ServiceId &service, qint64 tokens, MonotonicTime::duration took);
     void recordSend(const TargetId &target, const AttemptId &attempt,
                     const PlacementRequest &request, MonotonicTime now);
-    void subtractOwn(TargetState &state, const LoadReport &report);
+    void updateRemoteLoad(TargetState &state, const LoadReport &report);
     void endGrant(const RequestId &request, MonotonicTime now);
-    void forgetGrants(TargetState &state);
-    void dropOldGrants(TargetState &state, MonotonicTime now);
+    void clearGrants(TargetState &state);
+    void expireGrants(TargetState &state, MonotonicTime now);
 
     mutable std::mutex m_mutex;
     std::map<TargetId, TargetState> m_targets;
@@ -129,9 +131,9 @@
     QHash<ServiceId, StateList> m_byService;
     QHash<AttemptId, Attempt> m_attempts;
     QHash<RequestId, TargetId> m_grants;
-    QHash<ServiceId, quint64> m_turns;
+    QHash<ServiceId, quint64> m_roundRobinCounters;
     LengthModel m_lengths;
-    /// Decayed mean of the time between two tokens, prompt work included.
+    /// Exponentially decayed mean of the time per generated token, including prefill.
     QHash<ServiceId, double> m_millisecondsPerToken;
     VmId m_self;
     QList<VmId> m_members;
--- a/src/placement/TargetTableStates.cpp
+++ b/src/placement/TargetTableStates.cpp
@@ -1,4 +1,3 @@
-// The part of TargetTable that keeps and tells the states and loads of targets.
 #include "placement/TargetTable.h"
 
 #include "placement/ForecastPolicy.h"
@@ -16,13 +15,13 @@
     if (!state)
         return false;
     const bool unknown = incarnation == Incarnation(0);
-    const Incarnation left = unknown ? state->incarnation : incarnation;
-    if (left < state->incarnation)
+    const Incarnation leavingIncarnation = unknown ? state->incarnation : incarnation;
+    if (leavingIncarnation < state->incarnation)
         return false;
-    const bool wasIn = !state->leaving;
+    const bool wasActive = !state->leaving;
     state->leaving = true;
-    state->leavingIncarnation = std::max(left, state->leavingIncarnation);
-    return wasIn;
+    state->leavingIncarnation = std::max(leavingIncarnation, state->leavingIncarnation);
+    return wasActive;
 }
 
 bool TargetTable::markDead(const TargetId &target)
@@ -35,7 +34,7 @@
     return true;
 }
 
-void TargetTable::markBack(const TargetId &target)
+void TargetTable::markAlive(const TargetId &target)
 {
     const std::lock_guard lock(m_mutex);
     if (TargetState *state = find(target))
@@ -73,16 +72,16 @@
 QList<TargetLoad> TargetTable::loads(const StateList &states, const PlacementRequest &request,
                                      MonotonicTime now) const
 {
-    const SteadyForecast steady = steadyForecast(request.service, request.model);
+    const SteadyStateSurvival steady = steadyStateForecast(request.service, request.model);
     QList<TargetLoad> usableLoads;
     usableLoads.reserve(qsizetype(states.size()));
     const quint64 prefix = request.prefixHash;
-    const quint64 leastRank = prefix == 0 ? 0 : leastPreferredRank(candidates(request), prefix);
+    const quint64 minRank = prefix == 0 ? 0 : minPreferredRank(candidates(request), prefix);
     for (const TargetState *state : states) {
         if (!isUsable(*state))
             continue;
         TargetLoad load = loadOf(*state, steady, now);
-        load.preferredForPrefix = prefix != 0 && prefixRank(state->idHash, prefix) >= leastRank;
+        load.preferredForPrefix = prefix != 0 && prefixRank(state->idHash, prefix) >= minRank;
         usableLoads.append(load);
     }
     return usableLoads;
@@ -113,7 +112,7 @@
     QList<TargetLoad> all;
     for (const auto &[id, state] : m_targets) {
         if (state.configured)
-            all.append(loadOf(state, steadyForecast(state.service, {}), now));
+            all.append(loadOf(state, steadyStateForecast(state.service, {}), now));
     }
     return all;
 }
--- a/test/correctness/AdmissionFairness.cpp
+++ b/test/correctness/AdmissionFairness.cpp
@@ -32,7 +32,7 @@
 
 RequestId firstTurn(const WaitingLane &lane, const ServiceShares &shares)
 {
-    return turns(lane, shares, 1).first().placement.request;
+    return nextRequests(lane, shares, 1).first().placement.request;
 }
 
 } // namespace
@@ -60,7 +60,7 @@
     constexpr int Turns = 400;
     for (int i = 0; i < Turns; ++i) {
         const bool ordinary = firstTurn(lane, shares) == requestId(2);
-        startServing(shares, ordinary ? Ordinary : Greedy);
+        raiseFloor(shares, ordinary ? Ordinary : Greedy);
         charge(shares, ordinary ? Ordinary : Greedy, Tokens(10), ordinary ? 3 : 1);
         ordinaryTurns += ordinary;
     }
@@ -72,9 +72,9 @@
     // A workspace that slept all night would otherwise hold the service alone all morning.
     ServiceShares shares;
     charge(shares, Greedy, Tokens(10'000), 1);
-    startServing(shares, Greedy);
-    startWaiting(shares, Ordinary);
-    BOOST_TEST(served(shares, Ordinary) == 10'000.0);
+    raiseFloor(shares, Greedy);
+    liftToFloor(shares, Ordinary);
+    BOOST_TEST(weightedTokens(shares, Ordinary) == 10'000.0);
 }
 
 BOOST_AUTO_TEST_CASE(PriorityOrdersOnlyWithinAWorkspace)
@@ -85,13 +85,13 @@
     insert(lane, request(1, Greedy), 1);
     insert(lane, request(2, Greedy, 9), 1);
     insert(lane, request(3, Ordinary), 1);
-    const QList<AdmissionRequest> order = turns(lane, shares, 5);
+    const QList<AdmissionRequest> order = nextRequests(lane, shares, 5);
     BOOST_REQUIRE(order.size() == 2);
     BOOST_CHECK(order[0].placement.request == requestId(3));
     BOOST_CHECK(order[1].placement.request == requestId(2));
     remove(lane, Greedy, requestId(2));
     remove(lane, Greedy, requestId(2));
-    BOOST_CHECK(turns(lane, shares, 5)[1].placement.request == requestId(1));
+    BOOST_CHECK(nextRequests(lane, shares, 5)[1].placement.request == requestId(1));
     BOOST_TEST(lane.size == 2);
 }
 
@@ -102,24 +102,24 @@
         insert(lane, request(i, Greedy), 1);
     BOOST_TEST(requestsAhead(lane, Ordinary, 1) == 2.0);
     BOOST_TEST(requestsAhead(lane, Greedy, 1) == 51.0);
-    BOOST_CHECK(crowdingWorkspace(lane, Ordinary, 1) == Greedy);
-    BOOST_TEST(crowdingWorkspace(lane, Greedy, 1).isEmpty());
+    BOOST_CHECK(workspaceToEvict(lane, Ordinary, 1) == Greedy);
+    BOOST_TEST(workspaceToEvict(lane, Greedy, 1).isEmpty());
 }
 
 BOOST_AUTO_TEST_CASE(WaitIsExpectedFromPlacementsInBusyTime)
 {
     WaitEstimate estimate;
     MonotonicTime now = Start;
-    countTime(estimate, now, false);
+    recordTime(estimate, now, false);
     BOOST_TEST(!expectedWait(estimate, 1).has_value());
     for (int i = 0; i < 100; ++i) {
         now += Milliseconds(100);
-        countTime(estimate, now, true);
-        countPlacement(estimate);
+        recordTime(estimate, now, true);
+        recordPlacement(estimate);
     }
     const qint64 busy = expectedWait(estimate, 10).value().count();
     BOOST_TEST(std::abs(busy - 1000) < 50);
-    countTime(estimate, now + Milliseconds(60'000), false);
+    recordTime(estimate, now + Milliseconds(60'000), false);
     BOOST_TEST(expectedWait(estimate, 10).value().count() == busy);
 }
 
@@ -127,16 +127,16 @@
 {
     WorkspaceLimiter limiter;
     const WorkspaceLimits limits{2, 0};
-    BOOST_TEST(!enter(limiter, requestId(1), Greedy, limits, Start).has_value());
-    BOOST_TEST(!enter(limiter, requestId(2), Greedy, limits, Start).has_value());
-    const std::optional<Error> error = enter(limiter, requestId(3), Greedy, limits, Start);
+    BOOST_TEST(!acquireSlot(limiter, requestId(1), Greedy, limits, Start).has_value());
+    BOOST_TEST(!acquireSlot(limiter, requestId(2), Greedy, limits, Start).has_value());
+    const std::optional<Error> error = acquireSlot(limiter, requestId(3), Greedy, limits, Start);
     BOOST_REQUIRE(error.has_value());
     BOOST_CHECK(error->kind == ErrorKind::OverLimit);
     BOOST_CHECK(error->ran == Ran::No);
-    leave(limiter, requestId(1));
-    leave(limiter, requestId(1));
-    BOOST_TEST(!enter(limiter, requestId(3), Greedy, limits, Start).has_value());
-    BOOST_TEST(enter(limiter, requestId(4), Greedy, limits, Start).has_value());
+    releaseSlot(limiter, requestId(1));
+    releaseSlot(limiter, requestId(1));
+    BOOST_TEST(!acquireSlot(limiter, requestId(3), Greedy, limits, Start).has_value());
+    BOOST_TEST(acquireSlot(limiter, requestId(4), Greedy, limits, Start).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(RateLimitFillsWithTime)
@@ -145,11 +145,11 @@
     const WorkspaceLimits limits{0, 2};
     int passed = 0;
     for (int i = 0; i < 10; ++i)
-        passed += !enter(limiter, requestId(i), Greedy, limits, Start).has_value();
+        passed += !acquireSlot(limiter, requestId(i), Greedy, limits, Start).has_value();
     BOOST_TEST(passed == 2);
-    BOOST_TEST(!enter(limiter, requestId(20), Greedy, limits, Start + Milliseconds(500)));
+    BOOST_TEST(!acquireSlot(limiter, requestId(20), Greedy, limits, Start + Milliseconds(500)));
     BOOST_TEST(
-        enter(limiter, requestId(21), Greedy, limits, Start + Milliseconds(500)).has_value());
+        acquireSlot(limiter, requestId(21), Greedy, limits, Start + Milliseconds(500)).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(RetriesStayUnderATenthOfFirstAttempts)
--- a/test/correctness/AdmissionQueue.cpp
+++ b/test/correctness/AdmissionQueue.cpp
@@ -97,7 +97,7 @@
     enqueue(request(B));
     BOOST_TEST(outcomes[A].calls == 0);
     BOOST_TEST(queue.waiting() == 2);
-    targets.markBack(Target);
+    targets.markAlive(Target);
     queue.capacityChanged();
     BOOST_TEST(outcomes[A].placed);
     BOOST_TEST(outcomes[B].placed);
@@ -118,7 +118,7 @@
     BOOST_TEST(outcomes[A].calls == 1);
     BOOST_CHECK(outcomes[A].error.kind == ErrorKind::DeadlineExceeded);
     BOOST_CHECK(outcomes[A].error.ran == Ran::No);
-    targets.markBack(Target);
+    targets.markAlive(Target);
     queue.capacityChanged();
     BOOST_TEST(outcomes[A].calls == 1);
 }
@@ -139,7 +139,7 @@
     enqueue(request(A));
     queue.cancel(RequestId(A));
     queue.cancel(RequestId(A));
-    targets.markBack(Target);
+    targets.markAlive(Target);
     queue.capacityChanged();
     timers.advance(Milliseconds(70'000));
     BOOST_TEST(outcomes[A].calls == 0);
@@ -158,7 +158,7 @@
     enqueue(request(A));
     BOOST_TEST(outcomes[A].calls == 0);
     BOOST_CHECK(outcomes[QStringLiteral("g3")].error.kind == ErrorKind::QueueFull);
-    targets.markBack(Target);
+    targets.markAlive(Target);
     queue.capacityChanged();
     BOOST_TEST(outcomes[A].placed);
     for (const auto &[name, outcome] : outcomes)
@@ -173,14 +173,14 @@
     enqueue(request(B));
     callback = [&](const QString &name) {
         if (name == A && outcomes[A].calls == 1) {
-            queue.attemptEnded(AttemptId(A), AttemptEnd::CutOff);
+            queue.attemptEnded(AttemptId(A), AttemptEnd::Incomplete);
             AdmissionRequest again = request(A);
             again.attempt = AttemptId(QStringLiteral("a2"));
             again.retry = true;
             enqueue(again);
         }
     };
-    targets.markBack(Target);
+    targets.markAlive(Target);
     queue.capacityChanged();
     BOOST_TEST(outcomes[A].calls == 2);
     BOOST_TEST(outcomes[B].calls == 1);
@@ -209,7 +209,7 @@
     targets.markDead(Target);
     enqueue(late);
     BOOST_CHECK(outcomes[A].error.kind == ErrorKind::DeadlineTooShort);
-    targets.markBack(Target);
+    targets.markAlive(Target);
     enqueue(request(B));
     BOOST_TEST(outcomes[B].placed);
 }
--- a/test/correctness/LengthModel.cpp
+++ b/test/correctness/LengthModel.cpp
@@ -24,8 +24,8 @@
 {
     LengthModel model;
     for (int i = 0; i < Samples; ++i) {
-        model.finished(Short, Tokens(45 + i % 10));
-        model.finished(Long, Tokens(900 + i % 200));
+        model.addCompleted(Short, Tokens(45 + i % 10));
+        model.addCompleted(Long, Tokens(900 + i % 200));
     }
     return model;
 }
@@ -53,7 +53,7 @@
 {
     LengthModel model = learnt();
     for (int i = 0; i < 5 * Samples; ++i)
-        model.finished(Short, Tokens(2000));
+        model.addCompleted(Short, Tokens(2000));
     BOOST_TEST(meanOf(model, Short) > 1500);
 }
 
@@ -72,9 +72,9 @@
     LengthModel dropped = learnt();
     LengthModel counted = learnt();
     for (int i = 0; i < Samples; ++i) {
-        dropped.finished(Unknown, Tokens(20));
-        counted.finished(Unknown, Tokens(20));
-        counted.cutOff(Unknown, Tokens(500));
+        dropped.addCompleted(Unknown, Tokens(20));
+        counted.addCompleted(Unknown, Tokens(20));
+        counted.addCensored(Unknown, Tokens(500));
     }
     BOOST_TEST(meanOf(counted, Unknown) > 4 * meanOf(dropped, Unknown));
 }
@@ -83,12 +83,12 @@
 {
     LengthModel model;
     for (int i = 0; i < Samples; ++i)
-        model.finished(Short, Tokens(i % 10 == 0 ? 3000 : 50));
+        model.addCompleted(Short, Tokens(i % 10 == 0 ? 3000 : 50));
     const LengthDistribution length = model.distribution(Short, Tokens(0));
     const double atStart = remainingLength(length, Tokens(0)).mean;
     const double outlived = remainingLength(length, Tokens(200)).mean;
     BOOST_TEST(outlived > 2 * atStart);
-    BOOST_TEST(survivalAfter(length, Tokens(200), 500) > 0.7);
+    BOOST_TEST(conditionalSurvival(length, Tokens(200), 500) > 0.7);
 }
 
 BOOST_AUTO_TEST_CASE(SurvivalNeverRises)
@@ -100,9 +100,9 @@
         BOOST_TEST(alive <= previous + 1e-12);
         previous = alive;
     }
-    BOOST_TEST(survivalAt(length, LongestLength) == 0.0);
-    BOOST_TEST(steadySurvival(length, 0) == 1.0);
-    BOOST_TEST(steadySurvival(length, 1000) < steadySurvival(length, 100));
+    BOOST_TEST(survivalAt(length, MaxLengthTokens) == 0.0);
+    BOOST_TEST(steadyStateSurvival(length, 0) == 1.0);
+    BOOST_TEST(steadyStateSurvival(length, 1000) < steadyStateSurvival(length, 100));
 }
 
 BOOST_AUTO_TEST_CASE(GroupsAreBounded)
@@ -110,11 +110,12 @@
     LengthModel model;
     constexpr int Many = 70'000;
     for (int i = 0; i < Many; ++i) {
-        model.finished({Short.service, Short.model, WorkspaceId(QString::number(i))}, Tokens(10));
+        model.addCompleted({Short.service, Short.model, WorkspaceId(QString::number(i))},
+                           Tokens(10));
     }
-    BOOST_TEST(model.groups() <= 32'768);
-    model.finished(Long, Tokens(10));
-    BOOST_TEST(model.groups() <= 32'769);
+    BOOST_TEST(model.groupCount() <= 32'768);
+    model.addCompleted(Long, Tokens(10));
+    BOOST_TEST(model.groupCount() <= 32'769);
 }
 
 BOOST_AUTO_TEST_CASE(ForecastsAddUpAndTakeApart)
@@ -123,16 +124,16 @@
     const MemoryForecast one = forecastRequest(length, Tokens(300), Tokens(0));
     MemoryForecast sum = one;
     sum += one;
-    BOOST_TEST(pressure(sum, Tokens(10'000), 0) == 2 * pressure(one, Tokens(10'000), 0),
+    BOOST_TEST(memoryPressure(sum, Tokens(10'000), 0) == 2 * memoryPressure(one, Tokens(10'000), 0),
                boost::test_tools::tolerance(1e-9));
     // Independent lengths: the margin of two is less than twice that of one.
-    BOOST_TEST(pressure(sum, Tokens(10'000), 3) < 2 * pressure(one, Tokens(10'000), 3));
+    BOOST_TEST(memoryPressure(sum, Tokens(10'000), 3) < 2 * memoryPressure(one, Tokens(10'000), 3));
     sum -= one;
     BOOST_TEST(sum.mean[3] == one.mean[3], boost::test_tools::tolerance(1e-9));
 }
 
 BOOST_AUTO_TEST_CASE(MarginFollowsTheAcceptedChance)
 {
-    BOOST_TEST(sigmasFor(0.02) == 2.054, boost::test_tools::tolerance(0.001));
-    BOOST_TEST(sigmasFor(0.5) == 0.0);
+    BOOST_TEST(normalUpperQuantile(0.02) == 2.054, boost::test_tools::tolerance(0.001));
+    BOOST_TEST(normalUpperQuantile(0.5) == 0.0);
 }
--- a/test/correctness/PlacementPolicies.cpp
+++ b/test/correctness/PlacementPolicies.cpp
@@ -23,7 +23,7 @@
     TargetLoad made;
     made.target = targetId(number);
     made.capacityTokens = Tokens(Capacity);
-    made.othersRequests = requests;
+    made.remoteRequests = requests;
     made.forecast.mean.fill(filled * double(Capacity));
     return made;
 }
@@ -35,11 +35,11 @@
     return made;
 }
 
-PlacementRequest request(double growth = 100)
+PlacementRequest request(double expectedMemory = 100)
 {
     PlacementRequest made;
     made.promptTokens = Tokens(100);
-    made.growth.mean.fill(growth);
+    made.expectedMemory.mean.fill(expectedMemory);
     return made;
 }
 
@@ -89,7 +89,7 @@
     const QList<TargetLoad> targets{load(0, 0, 0), load(1, 9, 0.5)};
     BOOST_CHECK(forecast(targets, retry).target == targetId(1));
     retry.excluded.insert(targetId(1));
-    BOOST_CHECK(forecast(targets, retry).outcome == PlacementOutcome::NoneUsable);
+    BOOST_CHECK(forecast(targets, retry).outcome == PlacementOutcome::NoUsableTarget);
 }
 
 BOOST_AUTO_TEST_CASE(ForecastTakesTheTargetUnderLeastPressure)
--- a/test/correctness/PlacementRouter.cpp
+++ b/test/correctness/PlacementRouter.cpp
@@ -190,7 +190,7 @@
     BOOST_CHECK(outcomes[A].target == target);
     BOOST_TEST(here.targets.loadsFor(Model, timers.now()).first().ownRequests == 1);
     const TargetLoad atHome = there.targets.loadsFor(Model, timers.now()).first();
-    BOOST_TEST(atHome.othersRequests == 1);
+    BOOST_TEST(atHome.remoteRequests == 1);
     BOOST_TEST(atHome.residentTokens.value() == 100);
 }
 
@@ -199,11 +199,11 @@
     enqueue(A);
     deliver();
     report(there, 0);
-    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().othersRequests == 1);
+    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().remoteRequests == 1);
     timers.advance(Milliseconds(200));
     report(there, 120);
     const TargetLoad load = there.targets.loadsFor(Model, timers.now()).first();
-    BOOST_TEST(load.othersRequests == 1);
+    BOOST_TEST(load.remoteRequests == 1);
     BOOST_TEST(load.residentTokens.value() == 120);
 }
 
@@ -215,7 +215,7 @@
     here.queue.requestEnded(RequestId(A));
     deliver();
     const TargetLoad load = there.targets.loadsFor(Model, timers.now()).first();
-    BOOST_TEST(load.othersRequests == 0);
+    BOOST_TEST(load.remoteRequests == 0);
     BOOST_TEST(load.residentTokens.value() == 0);
 }
 
@@ -227,7 +227,7 @@
     deliver();
     timers.advance(Milliseconds(601'000));
     report(there, 0);
-    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().othersRequests == 0);
+    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().remoteRequests == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(RestartedTargetIsFreeOfEarlierGrants, Fixture)
@@ -238,7 +238,7 @@
     restarted.incarnation = Incarnation(2);
     restarted.capacityTokens = Tokens(Capacity);
     there.targets.reportReceived(target, restarted, timers.now());
-    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().othersRequests == 0);
+    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().remoteRequests == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(FullHomeLetsTheRequestWaitItsTurn, Fixture)
@@ -294,7 +294,7 @@
     deliver();
     BOOST_TEST(outcomes[A].calls == 1);
     BOOST_TEST(here.targets.loadsFor(Model, timers.now()).first().ownRequests == 1);
-    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().othersRequests == 1);
+    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().remoteRequests == 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(RoomGrantedTooLateIsGivenBack, Fixture)
@@ -308,7 +308,7 @@
     BOOST_TEST(outcomes[A].calls == 1);
     deliver();
     BOOST_TEST(outcomes[A].calls == 1);
-    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().othersRequests == 0);
+    BOOST_TEST(there.targets.loadsFor(Model, timers.now()).first().remoteRequests == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(NoUsableTargetIsToldAfterTheGrace, Fixture)
@@ -328,7 +328,7 @@
 BOOST_AUTO_TEST_CASE(MessagesSurviveTheWireAndBoundsAreChecked)
 {
     CreditRequest request;
-    request.ask = 7;
+    request.exchangeId = 7;
     request.kind = CreditRequestKind::Wait;
     request.timeLeft = Milliseconds(1234);
     request.request.placement.request = RequestId(QStringLiteral("r"));
