--- a/test/correctness/TargetTable.cpp
+++ b/test/correctness/TargetTable.cpp
@@ -70,7 +70,7 @@
     BOOST_TEST(table.markLeaving(First, Incarnation(3)));
     BOOST_TEST(!table.usable(First));
     table.reportReceived(First, report(3), now);
-    table.markBack(First);
+    table.markAlive(First);
     BOOST_TEST(!table.usable(First));
     table.reportReceived(First, report(4), now);
     BOOST_TEST(table.usable(First));
@@ -112,7 +112,7 @@
     BOOST_TEST(!table.markDead(First));
     table.reportReceived(First, report(0), now);
     BOOST_TEST(!table.usable(First));
-    table.markBack(First);
+    table.markAlive(First);
     BOOST_TEST(table.usable(First));
 }
 
@@ -141,7 +141,7 @@
     late.age = Milliseconds(500);
     table.reportReceived(First, late, now);
     BOOST_TEST(load(First).residentTokens.value() == 500);
-    BOOST_TEST(load(First).othersRequests == 1);
+    BOOST_TEST(load(First).remoteRequests == 1);
     now += Milliseconds(1000);
     table.reportReceived(First, report(1, 600, 2), now);
     BOOST_TEST(load(First).residentTokens.value() == 600);
@@ -155,8 +155,8 @@
     BOOST_TEST(!table.usable(First));
     BOOST_TEST(table.loadsFor(Model, now).size() == 1);
     table.tokenReceived(Attempt);
-    table.attemptEnded(Attempt, AttemptEnd::CutOff, now);
-    table.attemptEnded(Attempt, AttemptEnd::CutOff, now);
+    table.attemptEnded(Attempt, AttemptEnd::Incomplete, now);
+    table.attemptEnded(Attempt, AttemptEnd::Incomplete, now);
 }
 
 BOOST_FIXTURE_TEST_CASE(PlainServiceIsLookedUpByService, Fixture)
--- a/test/performance/PlacementCost.cpp
+++ b/test/performance/PlacementCost.cpp
@@ -72,7 +72,7 @@
     for (int i = 0; i < decisions; ++i) {
         const AttemptId attempt(QString::number(i));
         table.decide(attempt, request(i % Workspaces), service, Start, quint64(i));
-        table.attemptEnded(attempt, AttemptEnd::CutOff, Start);
+        table.attemptEnded(attempt, AttemptEnd::Incomplete, Start);
     }
     const double nanoseconds = double(std::clock() - began) / CLOCKS_PER_SEC * 1e9 / decisions;
     std::printf("decision: targets=%d ns=%.0f ns_per_target=%.1f\n", targets, nanoseconds,
@@ -87,14 +87,14 @@
 void measureMessages()
 {
     CreditRequest ask;
-    ask.ask = 1'000'000;
+    ask.exchangeId = 1'000'000;
     ask.request.placement = request(1);
     ask.request.placement.request = RequestId(QUuid::createUuid().toString(QUuid::WithoutBraces));
     ask.timeLeft = Milliseconds(60'000);
     CreditRequest done = ask;
     done.kind = CreditRequestKind::Done;
     CreditAnswer answer;
-    answer.ask = ask.ask;
+    answer.exchangeId = ask.exchangeId;
     answer.outcome = CreditOutcome::Granted;
     answer.target = TargetId(QStringLiteral("target-1"));
     std::printf("messages: ask_bytes=%d answer_bytes=%d done_bytes=%d\n", wireBytes(toCbor(ask)),
@@ -113,8 +113,8 @@
     for (int w = 0; w < Workspaces; ++w) {
         const WorkspaceId workspace(QStringLiteral("workspace-%1").arg(w));
         for (int m = 0; m < Models; ++m)
-            lengths.finished({Service, ModelId(QStringLiteral("model-%1").arg(m)), workspace},
-                             Tokens(100 + w));
+            lengths.addCompleted({Service, ModelId(QStringLiteral("model-%1").arg(m)), workspace},
+                                 Tokens(100 + w));
     }
     const double withLengths = heapBytes();
     ServiceShares shares;
@@ -124,13 +124,14 @@
     WorkspaceLimiter limiter;
     for (int w = 0; w < Workspaces; ++w) {
         const RequestId id(QString::number(w));
-        enter(limiter, id, WorkspaceId(QStringLiteral("workspace-%1").arg(w)), {1, 1.0}, Start);
-        leave(limiter, id);
+        acquireSlot(limiter, id, WorkspaceId(QStringLiteral("workspace-%1").arg(w)), {1, 1.0},
+                    Start);
+        releaseSlot(limiter, id);
     }
     const double withLimits = heapBytes();
     std::printf("memory: workspaces=%d models=%d length_groups=%d length_bytes_per_workspace=%.0f "
                 "shares_bytes_per_workspace=%.0f limits_bytes_per_workspace=%.0f total_mb=%.2f\n",
-                Workspaces, Models, lengths.groups(), (withLengths - before) / Workspaces,
+                Workspaces, Models, lengths.groupCount(), (withLengths - before) / Workspaces,
                 (withShares - withLengths) / Workspaces, (withLimits - withShares) / Workspaces,
                 (withLimits - before) / 1e6);
 }
