--- a/src/orders/IssuerLease.cpp
+++ b/src/orders/IssuerLease.cpp
@@ -54,12 +54,12 @@
 void IssuerLease::acquire()
 {
     const MonotonicTime requestedAt = m_timers.now();
-    m_platform.grantLease(m_times.lease,
+    m_platform.grantLease(m_times.leaseDuration,
                           m_life.wrap([this, requestedAt](const Result<LeaseId> &lease) {
                               if (lease)
                                   createKey(lease.value(), requestedAt);
                               else
-                                  scheduleNext(m_times.lease, &IssuerLease::acquire);
+                                  scheduleNext(m_times.leaseDuration, &IssuerLease::acquire);
                           }));
 }
 
@@ -79,7 +79,7 @@
     else if (result.outcome == SwapOutcome::Unknown)
         resolveUnknownSwap(lease, requestedAt);
     else
-        scheduleNext(m_times.lease, &IssuerLease::acquire);
+        scheduleNext(m_times.leaseDuration, &IssuerLease::acquire);
 }
 
 // The key may have been created although the answer was lost; without this check no daemon would
@@ -93,7 +93,7 @@
                         if (entry && entry.value().value == holderValue(lease))
                             becomeIssuer(lease, requestedAt, entry.value().revision);
                         else
-                            scheduleNext(m_times.lease, &IssuerLease::acquire);
+                            scheduleNext(m_times.leaseDuration, &IssuerLease::acquire);
                     }));
 }
 
--- a/src/orders/LeaseTiming.h
+++ b/src/orders/LeaseTiming.h
@@ -7,7 +7,7 @@
 /// Timing of an issuer lease. The times keep two successive holders from issuing at the same time.
 struct LeaseTimes {
     /// Time for which the platform's service keeps a lease after its last renewal.
-    Milliseconds lease{10'000};
+    Milliseconds leaseDuration{10'000};
     /// The holder stops issuing this long before its lease ends, which tolerates a pause of up to
     /// this length between its last clock reading and the send.
     Milliseconds expiryMargin{1000};
--- a/src/placement/TargetTable.h
+++ b/src/placement/TargetTable.h
@@ -19,7 +19,8 @@
 
 struct TargetState;
 
-/// The loads of all targets and this daemon's attempts on them.
+/// The loads of all targets and this daemon's attempts on them. TargetTableStates.cpp implements
+/// the methods that mark target states and return loads.
 /// Thread safety: every method is thread-safe. The mutex is a leaf lock (docs/LOCKS.md): no other
 /// code is called while it is held.
 class TargetTable
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -76,7 +76,7 @@
 QuarantineVerdict Quarantine::verdict(const RequestFingerprint &fingerprint, MonotonicTime now)
 {
     const QMutexLocker lock(&m_mutex);
-    m_now = now;
+    m_lastVerdictTime = now;
     // Fast path: most requests are in none of the tables, and the tables are usually empty.
     if (verdictOf(m_state, fingerprint) == QuarantineVerdict::Free
         && m_state.remoteProbations.isEmpty())
@@ -94,7 +94,7 @@
         const QMutexLocker lock(&m_mutex);
         if (!m_newsCallback)
             return cranberry::probationTarget(m_state, fingerprint, candidates);
-        decision = decideProbation(m_state, fingerprint, candidates, m_now);
+        decision = decideProbation(m_state, fingerprint, candidates, m_lastVerdictTime);
         reservationTimeout = m_state.settings.reservationTimeout;
     }
     if (decision.abandoned)
--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -75,7 +75,7 @@
     mutable QMutex m_mutex;
     QuarantineState m_state;
     /// The time passed to the last call of verdict().
-    MonotonicTime m_now;
+    MonotonicTime m_lastVerdictTime;
     NewsCallback m_newsCallback;
 };
 
--- a/test/correctness/IssuerLease.cpp
+++ b/test/correctness/IssuerLease.cpp
@@ -61,7 +61,7 @@
     timers.advance(takeoverDelay(times));
     BOOST_REQUIRE(issuer.fencingNumber());
     // While it is paused no answer to a renewal reaches it.
-    timers.advance(times.lease - times.expiryMargin - takeoverDelay(times));
+    timers.advance(times.leaseDuration - times.expiryMargin - takeoverDelay(times));
     BOOST_CHECK(!issuer.fencingNumber());
 }
 
--- a/test/correctness/LeaseTiming.cpp
+++ b/test/correctness/LeaseTiming.cpp
@@ -26,7 +26,7 @@
 /// How long after the grant before it a successor may issue, at the earliest.
 Milliseconds firstSendOfSuccessor(const LeaseTimes &times)
 {
-    return times.lease + takeoverDelay(times);
+    return times.leaseDuration + takeoverDelay(times);
 }
 
 } // namespace
@@ -35,7 +35,7 @@
 {
     const LeaseTimes times;
     const MonotonicTime asked{1h};
-    const MonotonicTime end = asked + times.lease - times.expiryMargin;
+    const MonotonicTime end = asked + times.leaseDuration - times.expiryMargin;
     BOOST_CHECK(mayIssue(times, asked, end - 1ms));
     BOOST_CHECK(!mayIssue(times, asked, end));
 }
--- a/test/failure/PausedIssuer.cpp
+++ b/test/failure/PausedIssuer.cpp
@@ -23,7 +23,7 @@
 LeaseTimes shortTimes()
 {
     LeaseTimes times;
-    times.lease = Milliseconds(600);
+    times.leaseDuration = Milliseconds(600);
     times.expiryMargin = Milliseconds(200);
     times.maxOrderDelay = Milliseconds(50);
     return times;
@@ -96,7 +96,7 @@
     MonotonicTime last = timers.now();
     BOOST_REQUIRE(test::waitFor([&] {
         both = both || (first.fencingNumber() && second.fencingNumber());
-        if (timers.now() - last > shortTimes().lease) {
+        if (timers.now() - last > shortTimes().leaseDuration) {
             last = timers.now();
             ++renewals;
         }
