--- a/src/orders/LeaseTiming.cpp
+++ b/src/orders/LeaseTiming.cpp
@@ -4,21 +4,22 @@
 
 namespace cranberry {
 
-bool mayIssue(const LeaseTimes &times, MonotonicTime askedAt, MonotonicTime now)
+bool mayIssue(const LeaseTimes &times, MonotonicTime requestedAt, MonotonicTime now)
 {
-    return now < askedAt + times.lease - times.stopEarly;
+    return now < requestedAt + times.leaseDuration - times.expiryMargin;
 }
 
-Milliseconds successorWait(const LeaseTimes &times)
+Milliseconds takeoverDelay(const LeaseTimes &times)
 {
-    const auto drift = Milliseconds(std::llround(double(times.lease.count()) * times.driftMargin));
-    return drift + times.longestFlight;
+    const auto drift =
+        Milliseconds(std::llround(double(times.leaseDuration.count()) * times.driftMargin));
+    return drift + times.maxOrderDelay;
 }
 
 Milliseconds renewalInterval(const LeaseTimes &times)
 {
     constexpr int RenewalsPerLease = 3;
-    return times.lease / RenewalsPerLease;
+    return times.leaseDuration / RenewalsPerLease;
 }
 
 } // namespace cranberry
