--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// How often a draining daemon looks whether all is finished.
-constexpr Milliseconds DrainCheck{20};
-constexpr qsizetype LeastSecretBytes = 16;
+/// Interval at which a draining daemon checks whether all requests have finished.
+constexpr Milliseconds DrainPollInterval{20};
+constexpr qsizetype MinSecretBytes = 16;
 
 Result<QByteArray> readSecret(const QString &path, const QString &setting)
 {
@@ -32,19 +32,19 @@
     if (!file.open(QIODevice::ReadOnly))
         return fault(file.errorString());
     const QByteArray secret = file.readAll().trimmed();
-    if (secret.size() < LeastSecretBytes)
-        return fault(QStringLiteral("expected at least %1 bytes").arg(LeastSecretBytes));
+    if (secret.size() < MinSecretBytes)
+        return fault(QStringLiteral("expected at least %1 bytes").arg(MinSecretBytes));
     return secret;
 }
 
-Error ofSetting(const QString &setting, Error error)
+Error withSetting(const QString &setting, Error error)
 {
     error.detail = QStringLiteral("%1: %2").arg(setting, error.detail);
     error.field = setting;
     return error;
 }
 
-quint64 freshRandom()
+quint64 generateRandom()
 {
     return QRandomGenerator::global()->generate64();
 }
@@ -71,19 +71,20 @@
     , members(timers, peers, platform, ownMember(settings, peerPort))
     , configuration(platform, workers, timers)
     , spread(configuration, platform, peers, members, timers)
-    , admission(timers, targets, freshRandom)
+    , admission(timers, targets, generateRandom)
     , credits(timers, peers, admission)
-    , router(timers, targets, admission, credits, members, freshRandom)
+    , router(timers, targets, admission, credits, members, generateRandom)
     , dispatcher({timers, targets, admission, router, quarantine}, settings.dataCentre)
-    , poller(timers, client, targets, settings.loadPoll, [this] { admission.capacityChanged(); })
+    , poller(timers, client, targets, settings.loadPollInterval,
+             [this] { admission.capacityChanged(); })
     , cancels(client)
     , claims({platform, timers, members, peers}, ClaimSettings())
     , delivery{client, timers, dispatcher, cancels, claims, settings.stall, {}, {}}
     , runs(delivery, settings.retention)
     , attachHolder(peers, timers, runs)
-    , attached(peers, timers)
+    , attachedAnswers(peers, timers)
     , gateway(delivery, runs, workers, settings.vm)
-    , operators(settings.vm, operatorToken, configuration, workers, operatorStatus())
+    , operatorApi(settings.vm, operatorToken, configuration, workers, operatorStatus())
     , server(timers, settings.http,
              [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
                  gateway.handle(request, responder);
@@ -128,10 +129,10 @@
     const Result<quint16> gatewayPort =
         m_parts->server.listenOn(QHostAddress(m_settings.gateway.address), m_settings.gateway.port);
     if (!gatewayPort)
-        return ofSetting(QStringLiteral("gateway.port"), gatewayPort.error());
+        return withSetting(QStringLiteral("gateway.port"), gatewayPort.error());
     m_gatewayPort = gatewayPort.value();
     if (!m_parts->peerPort)
-        return ofSetting(QStringLiteral("peer.port"), m_parts->peerPort.error());
+        return withSetting(QStringLiteral("peer.port"), m_parts->peerPort.error());
     m_peerPort = m_parts->peerPort.value();
     return outcome::success();
 }
@@ -141,7 +142,7 @@
     BOOST_OUTCOME_TRY(readSecrets());
     m_parts = std::make_unique<DaemonParts>(m_settings, m_peerSecret, m_operatorToken);
     BOOST_OUTCOME_TRY(listen());
-    wire();
+    connectParts();
     m_parts->members.start();
     m_parts->spread.start();
     logEvent(LogLevel::Info, EventId::DaemonStarted,
@@ -152,17 +153,17 @@
     return outcome::success();
 }
 
-void Daemon::wire()
+void Daemon::connectParts()
 {
     m_parts->configuration.onInForce(
-        [this](const std::shared_ptr<const Configuration> &) { configurationInForce(); });
+        [this](const std::shared_ptr<const Configuration> &) { applyConfiguration(); });
     m_parts->members.onVersionHeard([this](const VmId &from, ConfigurationVersion version) {
         m_parts->spread.versionHeard(from, version);
     });
-    m_parts->gateway.setAttached(&m_parts->attached);
+    m_parts->gateway.setAttached(&m_parts->attachedAnswers);
     m_parts->gateway.setOperatorHandler(
         [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
-            return m_parts->operators.handle(request, responder);
+            return m_parts->operatorApi.handle(request, responder);
         });
     m_parts->quarantine.onNews([this](const QCborMap &news) {
         m_parts->members.addDelta(PeerMessageKind::Quarantine, news);
@@ -171,12 +172,12 @@
                              [this](const VmId &, const QCborMap &news) {
                                  m_parts->quarantine.takeNews(news, m_parts->timers.now());
                              });
-    const auto tellLeaving = [this](const TargetId &target, Incarnation incarnation) {
+    const auto broadcastLeaving = [this](const TargetId &target, Incarnation incarnation) {
         m_parts->members.addDelta(PeerMessageKind::TargetLeaving,
                                   toCbor(TargetLeavingNews{target, incarnation}));
     };
-    m_parts->poller.onLeaving(tellLeaving);
-    m_parts->dispatcher.onLeaving(tellLeaving);
+    m_parts->poller.onLeaving(broadcastLeaving);
+    m_parts->dispatcher.onTargetLeaving(broadcastLeaving);
     m_parts->members.onDelta(
         PeerMessageKind::TargetLeaving, [this](const VmId &, const QCborMap &body) {
             if (const std::optional<TargetLeavingNews> news = targetLeavingNewsFrom(body))
@@ -184,7 +185,7 @@
         });
 }
 
-void Daemon::configurationInForce()
+void Daemon::applyConfiguration()
 {
     const std::shared_ptr<const Configuration> configuration = m_parts->configuration.current();
     const bool wasReady = m_parts->gateway.isReady();
@@ -198,16 +199,17 @@
 
 void Daemon::drain(std::function<void()> done)
 {
-    if (m_drained)
+    if (m_drainCallback)
         return;
-    m_drained = std::move(done);
+    m_drainCallback = std::move(done);
     logEvent(LogLevel::Info, EventId::DaemonDraining, {{"vm", m_settings.vm.text()}});
     m_parts->gateway.announceDrain();
     m_parts->members.setLeaving();
-    m_parts->drainTimer = m_parts->timers.after(m_settings.drainListen, [this] {
+    m_parts->drainTimer = m_parts->timers.after(m_settings.drainListenTime, [this] {
         m_parts->server.stopListening();
         m_parts->gateway.refuseNew();
-        m_parts->drainTimer = m_parts->timers.every(DrainCheck, [this] { finishDrainWhenIdle(); });
+        m_parts->drainTimer =
+            m_parts->timers.every(DrainPollInterval, [this] { finishDrainWhenIdle(); });
     });
 }
 
@@ -218,7 +220,7 @@
         return;
     m_parts->drainTimer.reset();
     logEvent(LogLevel::Info, EventId::DaemonStopped, {{"vm", m_settings.vm.text()}});
-    m_drained();
+    m_drainCallback();
 }
 
 } // namespace cranberry
--- a/src/daemon/Daemon.h
+++ b/src/daemon/Daemon.h
@@ -1,4 +1,3 @@
-// Defines Daemon, which puts the aggregates of one entry VM together.
 #pragma once
 
 #include "base/Result.h"
@@ -12,6 +11,7 @@
 struct DaemonParts;
 struct HttpRequest;
 
+/// Creates and connects the components of one entry VM.
 /// Thread safety: only from the thread of the event loop.
 class Daemon
 {
@@ -21,22 +21,25 @@
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    /// Reads the files that the settings name, listens, and begins to load the configuration.
-    /// Error BadRequest: one line that says what to change. Precondition: called once.
+    /// Reads the secret files named in the settings, opens the gateway and peer ports, and starts
+    /// to load the configuration. Error BadRequest: one line that names the setting to change.
+    /// Precondition: called once.
     Result<void> start();
 
     quint16 gatewayPort() const { return m_gatewayPort; }
     quint16 peerPort() const { return m_peerPort; }
 
-    /// Takes no part in new work any more, finishes every request and calls @p done. A second
-    /// call has no effect.
+    /// Starts a graceful shutdown: reports not ready, tells the other daemons that this one leaves,
+    /// closes the gateway port after DaemonSettings::drainListenTime, and calls @p done when all
+    /// requests have finished and all answers are sent. A second call has no effect.
+    /// Precondition: start() succeeded.
     void drain(std::function<void()> done);
 
 private:
     Result<void> readSecrets();
     Result<void> listen();
-    void wire();
-    void configurationInForce();
+    void connectParts();
+    void applyConfiguration();
     void finishDrainWhenIdle();
 
     const DaemonSettings m_settings;
@@ -45,7 +48,7 @@
     quint16 m_gatewayPort = 0;
     quint16 m_peerPort = 0;
     std::unique_ptr<DaemonParts> m_parts;
-    std::function<void()> m_drained;
+    std::function<void()> m_drainCallback;
 };
 
 } // namespace cranberry
--- a/src/daemon/DaemonParts.h
+++ b/src/daemon/DaemonParts.h
@@ -1,4 +1,3 @@
-// Defines DaemonParts, the objects that a daemon consists of, in the order of their making.
 #pragma once
 
 #include "admission/AdmissionQueue.h"
@@ -30,7 +29,8 @@
 
 namespace cranberry {
 
-/// Members are destroyed in reverse, so that each outlives what refers to it.
+/// The components of a daemon in order of construction. Members are destroyed in reverse order,
+/// so that each outlives the members that refer to it.
 struct DaemonParts {
     DaemonParts(const DaemonSettings &settings, const QByteArray &peerSecret,
                 const QByteArray &operatorToken);
@@ -40,7 +40,8 @@
     HttpClient client;
     HttpKeyValueStore platform;
     PeerLinks peers;
-    /// Known only once the links listen, and told to the other members.
+    /// The port on which PeerLinks listens, or the error. Initialized before `members`, which
+    /// announces the port to the other daemons.
     Result<quint16> peerPort;
     Membership members;
     ConfigurationStore configuration;
@@ -57,9 +58,9 @@
     DeliveryContext delivery;
     RunRegistry runs;
     AttachHolder attachHolder;
-    AttachedAnswers attached;
+    AttachedAnswers attachedAnswers;
     Gateway gateway;
-    OperatorApi operators;
+    OperatorApi operatorApi;
     HttpServer server;
     std::unique_ptr<TimerSubscription> drainTimer;
 
--- a/src/daemon/DaemonSettings.cpp
+++ b/src/daemon/DaemonSettings.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-constexpr qint64 HighestPort = 65535;
-constexpr qint64 MostBytes = qint64(1) << 30;
-constexpr qint64 MostMilliseconds = 3'600'000;
-constexpr qint64 MostConnections = 100'000;
-constexpr qint64 MostWorkers = 64;
+constexpr qint64 MaxPort = 65535;
+constexpr qint64 MaxBytes = qint64(1) << 30;
+constexpr qint64 MaxMilliseconds = 3'600'000;
+constexpr qint64 MaxConnections = 100'000;
+constexpr qint64 MaxWorkers = 64;
 
-HttpEndpoint readListen(SettingsReader reader)
+HttpEndpoint readListenEndpoint(SettingsReader reader)
 {
     HttpEndpoint endpoint;
     endpoint.address = reader.string(QStringLiteral("address"), QStringLiteral("127.0.0.1"));
     if (QHostAddress(endpoint.address).isNull())
         reader.fault(QStringLiteral("address"), QStringLiteral("an IP number"));
-    endpoint.port = quint16(reader.number(QStringLiteral("port"), 0, HighestPort, 0));
+    endpoint.port = quint16(reader.number(QStringLiteral("port"), 0, MaxPort, 0));
     return endpoint;
 }
 
-LogLevel readLevel(SettingsReader reader)
+LogLevel readLogLevel(SettingsReader reader)
 {
     const QString level = reader.string(QStringLiteral("level"), QStringLiteral("info"));
     if (level == QLatin1String("debug"))
@@ -41,19 +41,19 @@
 
 Milliseconds readDuration(SettingsReader &reader, const QString &name, Milliseconds fallback)
 {
-    return Milliseconds(reader.number(name, 1, MostMilliseconds, fallback.count()));
+    return Milliseconds(reader.number(name, 1, MaxMilliseconds, fallback.count()));
 }
 
 void readLimits(SettingsReader reader, DaemonSettings &settings)
 {
     HttpServerLimits &http = settings.http;
     http.body =
-        Bytes(reader.number(QStringLiteral("body_bytes"), 1024, MostBytes, http.body.value()));
+        Bytes(reader.number(QStringLiteral("body_bytes"), 1024, MaxBytes, http.body.value()));
     http.headers =
-        Bytes(reader.number(QStringLiteral("header_bytes"), 1024, MostBytes, http.headers.value()));
+        Bytes(reader.number(QStringLiteral("header_bytes"), 1024, MaxBytes, http.headers.value()));
     http.connections =
-        int(reader.number(QStringLiteral("connections"), 1, MostConnections, http.connections));
-    http.unreadAnswer = Bytes(reader.number(QStringLiteral("unread_answer_bytes"), 1024, MostBytes,
+        int(reader.number(QStringLiteral("connections"), 1, MaxConnections, http.connections));
+    http.unreadAnswer = Bytes(reader.number(QStringLiteral("unread_answer_bytes"), 1024, MaxBytes,
                                             http.unreadAnswer.value()));
     http.requestArrival =
         readDuration(reader, QStringLiteral("request_arrival_ms"), http.requestArrival);
@@ -68,10 +68,11 @@
     settings.retention.abandoned =
         readDuration(reader, QStringLiteral("abandoned_ms"), settings.retention.abandoned);
     settings.workers =
-        int(reader.number(QStringLiteral("workers"), 1, MostWorkers, settings.workers));
-    settings.drainListen =
-        readDuration(reader, QStringLiteral("drain_listen_ms"), settings.drainListen);
-    settings.loadPoll = readDuration(reader, QStringLiteral("load_poll_ms"), settings.loadPoll);
+        int(reader.number(QStringLiteral("workers"), 1, MaxWorkers, settings.workers));
+    settings.drainListenTime =
+        readDuration(reader, QStringLiteral("drain_listen_ms"), settings.drainListenTime);
+    settings.loadPollInterval =
+        readDuration(reader, QStringLiteral("load_poll_ms"), settings.loadPollInterval);
 }
 
 } // namespace
@@ -93,10 +94,10 @@
     DaemonSettings settings;
     settings.vm = VmId(reader.requiredString(QStringLiteral("vm")));
     settings.dataCentre = DataCentreId(reader.requiredString(QStringLiteral("data_centre")));
-    settings.gateway = readListen(reader.object(QStringLiteral("gateway")));
+    settings.gateway = readListenEndpoint(reader.object(QStringLiteral("gateway")));
     SettingsReader peer = reader.object(QStringLiteral("peer"));
     settings.peerSecretFile = peer.string(QStringLiteral("secret_file"), QString());
-    settings.peer = readListen(peer);
+    settings.peer = readListenEndpoint(peer);
     SettingsReader platform = reader.object(QStringLiteral("platform"));
     const std::optional<HttpEndpoint> url =
         parseEndpoint(platform.requiredString(QStringLiteral("url")));
@@ -105,9 +106,9 @@
                        QStringLiteral("\"http://ADDRESS:PORT\" with an IP number"));
     settings.platform = url.value_or(HttpEndpoint());
     settings.operatorTokenFile = reader.requiredString(QStringLiteral("operator_token_file"));
-    settings.logLevel = readLevel(reader.object(QStringLiteral("log")));
+    settings.logLevel = readLogLevel(reader.object(QStringLiteral("log")));
     readLimits(reader.object(QStringLiteral("limits")), settings);
-    faults.noteUnread();
+    faults.addUnknownMembers();
     if (!faults.isEmpty())
         return Error{ErrorKind::BadRequest, Ran::No, faults.first(), {}, {}};
     return settings;
--- a/src/daemon/DaemonSettings.h
+++ b/src/daemon/DaemonSettings.h
@@ -1,4 +1,3 @@
-// Defines DaemonSettings, what a daemon is told about itself at its start.
 #pragma once
 
 #include "base/EventLog.h"
@@ -13,12 +12,13 @@
 
 namespace cranberry {
 
+/// The content of the settings file that a daemon reads at startup.
 struct DaemonSettings {
     VmId vm;
     DataCentreId dataCentre;
     HttpEndpoint gateway;
     HttpEndpoint peer;
-    /// Empty if the daemon runs without peers.
+    /// File with the secret that all daemons share. Daemon::start() fails if the path is empty.
     QString peerSecretFile;
     HttpEndpoint platform;
     QString operatorTokenFile;
@@ -27,14 +27,14 @@
     StallLimits stall;
     RunRetention retention;
     int workers = 4;
-    /// Time for which a draining daemon still accepts connections, so that a balancer that
-    /// lags finds nobody refused.
-    Milliseconds drainListen{5000};
-    Milliseconds loadPoll{500};
+    /// Time for which a draining daemon still accepts connections, so that no request is refused
+    /// before load balancers have seen that the daemon is not ready.
+    Milliseconds drainListenTime{5000};
+    Milliseconds loadPollInterval{500};
 };
 
-/// Reads the settings file's content. Error BadRequest: one line that names the path of the
-/// member at fault, what is allowed and what was found. Thread-safe.
+/// Parses the content of a settings file. Error BadRequest: one line with the path of the first
+/// invalid member, the allowed values and the value found. Thread-safe.
 Result<DaemonSettings> parseSettings(const QByteArray &json);
 
 } // namespace cranberry
--- a/src/daemon/Dispatcher.cpp
+++ b/src/daemon/Dispatcher.cpp
@@ -14,30 +14,31 @@
 
 namespace {
 
-/// How long a plain service's target that could not be reached is left alone.
-constexpr Milliseconds PlainTargetPause{1000};
-/// The same for one that refused because it leaves.
-constexpr Milliseconds PlainTargetLeavingPause{60'000};
-/// How soon a request is looked at again that has to keep away from suspects, or is one.
-constexpr Milliseconds ProbationPause{100};
+/// Time for which a plain service's target gets no requests after a connection to it failed or
+/// broke.
+constexpr Milliseconds PlainTargetLostDelay{1000};
+/// The same for a target that refused a request because it is shutting down.
+constexpr Milliseconds PlainTargetLeavingDelay{60'000};
+/// Delay before a suspect request, or one whose target is on probation, asks for a target again.
+constexpr Milliseconds ProbationRetryDelay{100};
 
-bool isAllowed(const TargetLoad &load, const QSet<TargetId> &excluded)
+bool isEligible(const TargetLoad &load, const QSet<TargetId> &excluded)
 {
     return !excluded.contains(load.target);
 }
 
 } // namespace
 
-/// One attempt that has no target yet.
-struct Dispatcher::Waiting {
+/// An acquire() that has not called back.
+struct Dispatcher::PendingAcquire {
     AdmissionRequest admission;
     RequestFingerprint fingerprint;
     Callback callback;
     std::unique_ptr<TimerSubscription> timer;
 };
 
-Dispatcher::Dispatcher(const Surroundings &surroundings, DataCentreId dataCentre)
-    : m_surroundings(surroundings)
+Dispatcher::Dispatcher(const Dependencies &dependencies, DataCentreId dataCentre)
+    : m_dependencies(dependencies)
     , m_dataCentre(std::move(dataCentre))
 {
 }
@@ -47,214 +48,216 @@
 void Dispatcher::setConfiguration(const std::shared_ptr<const Configuration> &configuration)
 {
     m_configuration = configuration;
-    m_surroundings.targets.setConfiguration(*configuration);
-    m_surroundings.router.setConfiguration(configuration);
-    m_surroundings.admission.capacityChanged();
+    m_dependencies.targets.setConfiguration(*configuration);
+    m_dependencies.router.setConfiguration(configuration);
+    m_dependencies.admission.capacityChanged();
 }
 
 void Dispatcher::acquire(const TargetDemand &demand, Callback callback)
 {
-    const auto wait = std::make_shared<Waiting>();
-    wait->admission = demand.admission;
-    wait->admission.placement.dataCentre = m_dataCentre;
-    wait->fingerprint = demand.fingerprint;
-    wait->callback = std::move(callback);
-    m_waiting.insert(demand.admission.placement.request, wait);
-    advance(wait);
+    const auto pending = std::make_shared<PendingAcquire>();
+    pending->admission = demand.admission;
+    pending->admission.placement.dataCentre = m_dataCentre;
+    pending->fingerprint = demand.fingerprint;
+    pending->callback = std::move(callback);
+    m_pendingAcquires.insert(demand.admission.placement.request, pending);
+    requestPlacement(pending);
 }
 
-void Dispatcher::advance(const Wait &wait)
+void Dispatcher::requestPlacement(const PendingAcquirePtr &pending)
 {
-    wait->timer.reset();
-    const MonotonicTime now = m_surroundings.timers.now();
-    switch (m_surroundings.quarantine.mayRun(wait->fingerprint, now)) {
+    pending->timer.reset();
+    const MonotonicTime now = m_dependencies.timers.now();
+    switch (m_dependencies.quarantine.mayRun(pending->fingerprint, now)) {
     case QuarantineVerdict::Quarantined:
-        refuse(wait,
-               {ErrorKind::Quarantined,
-                Ran::No,
-                QStringLiteral("this request crashed two targets and is held back"),
-                {},
-                {}});
+        failAcquire(pending,
+                    {ErrorKind::Quarantined,
+                     Ran::No,
+                     QStringLiteral("the request is quarantined because it crashed two targets"),
+                     {},
+                     {}});
         return;
     case QuarantineVerdict::Suspect:
-        placeOnProbation(wait);
+        placeOnProbation(pending);
         return;
     case QuarantineVerdict::Free:
         break;
     }
-    m_surroundings.router.enqueue(
-        wait->admission,
-        [this, weak = std::weak_ptr<Waiting>(wait)](const Result<TargetId> &target) {
-            if (const Wait waiting = weak.lock())
-                placed(waiting, target);
+    m_dependencies.router.enqueue(
+        pending->admission,
+        [this, weak = std::weak_ptr<PendingAcquire>(pending)](const Result<TargetId> &target) {
+            if (const PendingAcquirePtr locked = weak.lock())
+                handlePlacement(locked, target);
         });
 }
 
-void Dispatcher::placeOnProbation(const Wait &wait)
+void Dispatcher::placeOnProbation(const PendingAcquirePtr &pending)
 {
-    const PlacementRequest &placement = wait->admission.placement;
-    const MonotonicTime now = m_surroundings.timers.now();
+    const PlacementRequest &placement = pending->admission.placement;
+    const MonotonicTime now = m_dependencies.timers.now();
     const QList<TargetLoad> loads = placement.model.isEmpty()
-        ? m_surroundings.targets.loadsFor(placement.service, now)
-        : m_surroundings.targets.loadsFor(placement.model, now);
+        ? m_dependencies.targets.loadsFor(placement.service, now)
+        : m_dependencies.targets.loadsFor(placement.model, now);
     QList<ProbationCandidate> candidates;
     for (const TargetLoad &load : loads) {
-        if (isAllowed(load, placement.excluded))
+        if (isEligible(load, placement.excluded))
             candidates.append({load.target, load.ownRequests + load.othersRequests});
     }
     const std::optional<TargetId> target =
-        m_surroundings.quarantine.probationTarget(wait->fingerprint, candidates);
+        m_dependencies.quarantine.probationTarget(pending->fingerprint, candidates);
     if (!target) {
-        tryLater(wait);
+        scheduleRetry(pending);
         return;
     }
     logEvent(LogLevel::Info, EventId::QuarantineSuspect,
              {{"request", placement.request.text()}, {"target", target->text()}});
-    m_surroundings.targets.attemptSent(*target, wait->admission.attempt, placement, now);
-    give(wait, *target);
+    m_dependencies.targets.attemptSent(*target, pending->admission.attempt, placement, now);
+    completeAcquire(pending, *target);
 }
 
-void Dispatcher::placed(const Wait &wait, const Result<TargetId> &target)
+void Dispatcher::handlePlacement(const PendingAcquirePtr &pending, const Result<TargetId> &target)
 {
     if (!target) {
-        refuse(wait, target.error());
+        failAcquire(pending, target.error());
         return;
     }
     const QuarantineVerdict verdict =
-        m_surroundings.quarantine.mayRun(wait->fingerprint, m_surroundings.timers.now());
-    const bool onProbation = m_surroundings.quarantine.isOnProbation(target.value());
+        m_dependencies.quarantine.mayRun(pending->fingerprint, m_dependencies.timers.now());
+    const bool onProbation = m_dependencies.quarantine.isOnProbation(target.value());
     if (onProbation || verdict != QuarantineVerdict::Free) {
-        // While this one waited, a suspect went to that target, or it became a suspect itself.
-        // Two suspects on one target could not be told apart if it died.
-        m_surroundings.admission.attemptEnded(wait->admission.attempt, AttemptEnd::CutOff);
-        tryLater(wait);
+        // While this request was queued, a suspect was sent to the target or this request became
+        // a suspect. If a target with two suspects dies, the crash cannot be attributed to either.
+        m_dependencies.admission.attemptEnded(pending->admission.attempt, AttemptEnd::CutOff);
+        scheduleRetry(pending);
         return;
     }
-    give(wait, target.value());
+    completeAcquire(pending, target.value());
 }
 
-void Dispatcher::tryLater(const Wait &wait)
+void Dispatcher::scheduleRetry(const PendingAcquirePtr &pending)
 {
-    const MonotonicTime now = m_surroundings.timers.now();
-    if (now + ProbationPause >= wait->admission.deadline) {
-        refuse(wait,
-               {ErrorKind::DeadlineTooShort,
-                Ran::No,
-                QStringLiteral("no target is free of suspect requests in time"),
-                {},
-                {}});
+    const MonotonicTime now = m_dependencies.timers.now();
+    if (now + ProbationRetryDelay >= pending->admission.deadline) {
+        failAcquire(
+            pending,
+            {ErrorKind::DeadlineTooShort,
+             Ran::No,
+             QStringLiteral("no target without a suspect request is available before the deadline"),
+             {},
+             {}});
         return;
     }
-    wait->admission.retry = true;
-    wait->timer =
-        m_surroundings.timers.after(ProbationPause, [this, weak = std::weak_ptr<Waiting>(wait)] {
-            if (const Wait waiting = weak.lock())
-                advance(waiting);
+    pending->admission.retry = true;
+    pending->timer = m_dependencies.timers.after(
+        ProbationRetryDelay, [this, weak = std::weak_ptr<PendingAcquire>(pending)] {
+            if (const PendingAcquirePtr locked = weak.lock())
+                requestPlacement(locked);
         });
 }
 
-void Dispatcher::give(const Wait &wait, const TargetId &target)
+void Dispatcher::completeAcquire(const PendingAcquirePtr &pending, const TargetId &target)
 {
-    const AdmissionRequest &admission = wait->admission;
-    m_waiting.remove(admission.placement.request);
-    m_running.insert(admission.attempt, wait->fingerprint);
-    m_surroundings.quarantine.attemptStarted(wait->fingerprint, admission.placement.workspace,
-                                             target, m_surroundings.timers.now());
-    // Decisions are made under the newest configuration, so the target is in it.
+    const AdmissionRequest &admission = pending->admission;
+    m_pendingAcquires.remove(admission.placement.request);
+    m_attemptFingerprints.insert(admission.attempt, pending->fingerprint);
+    m_dependencies.quarantine.attemptStarted(pending->fingerprint, admission.placement.workspace,
+                                             target, m_dependencies.timers.now());
+    // Placement uses the current configuration, so it contains the target.
     const auto found = m_configuration->targets.constFind(target);
     const HttpEndpoint endpoint =
         found == m_configuration->targets.constEnd() ? HttpEndpoint() : found->endpoint;
-    wait->callback(TargetPlace{target, endpoint, m_surroundings.targets.incarnation(target)});
+    pending->callback(TargetPlace{target, endpoint, m_dependencies.targets.incarnation(target)});
 }
 
-void Dispatcher::refuse(const Wait &wait, const Error &error)
+void Dispatcher::failAcquire(const PendingAcquirePtr &pending, const Error &error)
 {
-    m_waiting.remove(wait->admission.placement.request);
-    wait->callback(error);
+    m_pendingAcquires.remove(pending->admission.placement.request);
+    pending->callback(error);
 }
 
 void Dispatcher::withdraw(const RequestId &request)
 {
-    m_waiting.remove(request);
-    m_surroundings.router.cancel(request);
+    m_pendingAcquires.remove(request);
+    m_dependencies.router.cancel(request);
 }
 
 void Dispatcher::tokenReceived(const AttemptId &attempt)
 {
-    m_surroundings.admission.tokenReceived(attempt);
+    m_dependencies.admission.tokenReceived(attempt);
 }
 
 void Dispatcher::attemptEnded(const AttemptId &attempt, const TargetId &target,
                               AttemptOutcome outcome)
 {
-    const RequestFingerprint fingerprint = m_running.take(attempt);
-    // A request that never reached a target cannot have crashed it: it is off the target before
-    // the blame is laid.
+    const RequestFingerprint fingerprint = m_attemptFingerprints.take(attempt);
+    // A request that did not reach the target cannot have crashed it. It is removed from the
+    // target first so that the crash is not attributed to it.
     if (outcome == AttemptOutcome::NotReached)
-        m_surroundings.quarantine.attemptFinished(fingerprint, target, false);
+        m_dependencies.quarantine.attemptFinished(fingerprint, target, false);
     if (outcome == AttemptOutcome::TargetLost || outcome == AttemptOutcome::NotReached)
-        targetLost(target);
+        handleTargetLost(target);
     else if (outcome == AttemptOutcome::Leaving)
-        targetLeaves(target);
+        handleTargetLeaving(target);
     const bool finished = outcome == AttemptOutcome::Finished;
-    m_surroundings.quarantine.attemptFinished(fingerprint, target, finished);
-    m_surroundings.admission.attemptEnded(attempt,
+    m_dependencies.quarantine.attemptFinished(fingerprint, target, finished);
+    m_dependencies.admission.attemptEnded(attempt,
                                           finished ? AttemptEnd::Finished : AttemptEnd::CutOff);
 }
 
-void Dispatcher::targetLost(const TargetId &target)
+void Dispatcher::handleTargetLost(const TargetId &target)
 {
-    if (!m_surroundings.targets.markDead(target))
+    if (!m_dependencies.targets.markDead(target))
         return;
     logEvent(LogLevel::Warning, EventId::TargetDead, {{"target", target.text()}});
-    const bool wasLeaving = m_surroundings.targets.isLeaving(target);
-    m_surroundings.quarantine.targetDied(
+    const bool wasLeaving = m_dependencies.targets.isLeaving(target);
+    m_dependencies.quarantine.targetDied(
         target, wasLeaving ? TargetDeathCause::Reclaimed : TargetDeathCause::Crash,
-        m_surroundings.timers.now());
-    if (isPlain(target))
-        bringBackAfter(target, PlainTargetPause);
+        m_dependencies.timers.now());
+    if (isPlainTarget(target))
+        reinstateAfter(target, PlainTargetLostDelay);
 }
 
-void Dispatcher::targetLeaves(const TargetId &target)
+void Dispatcher::handleTargetLeaving(const TargetId &target)
 {
-    if (isPlain(target)) {
-        // It never reports an incarnation, so only time can show that it was started anew.
-        if (m_surroundings.targets.markDead(target))
+    if (isPlainTarget(target)) {
+        // Plain targets report no incarnation, so a restart cannot be detected; the target is
+        // used again after a fixed delay.
+        if (m_dependencies.targets.markDead(target))
             logEvent(LogLevel::Info, EventId::TargetLeaving, {{"target", target.text()}});
-        bringBackAfter(target, PlainTargetLeavingPause);
+        reinstateAfter(target, PlainTargetLeavingDelay);
         return;
     }
-    const Incarnation incarnation = m_surroundings.targets.incarnation(target);
-    if (!m_surroundings.targets.markLeaving(target, incarnation))
+    const Incarnation incarnation = m_dependencies.targets.incarnation(target);
+    if (!m_dependencies.targets.markLeaving(target, incarnation))
         return;
     logEvent(LogLevel::Info, EventId::TargetLeaving, {{"target", target.text()}});
-    if (m_leaving)
-        m_leaving(target, incarnation);
+    if (m_leavingCallback)
+        m_leavingCallback(target, incarnation);
 }
 
-bool Dispatcher::isPlain(const TargetId &target) const
+bool Dispatcher::isPlainTarget(const TargetId &target) const
 {
     const auto found = m_configuration->targets.constFind(target);
     return found != m_configuration->targets.constEnd() && found->models.isEmpty();
 }
 
-void Dispatcher::bringBackAfter(const TargetId &target, Milliseconds pause)
+void Dispatcher::reinstateAfter(const TargetId &target, Milliseconds delay)
 {
-    m_backAgain[target] = m_surroundings.timers.after(pause, [this, target] {
-        m_surroundings.targets.markBack(target);
-        m_surroundings.admission.capacityChanged();
-        m_backAgain.remove(target);
+    m_reinstateTimers[target] = m_dependencies.timers.after(delay, [this, target] {
+        m_dependencies.targets.markBack(target);
+        m_dependencies.admission.capacityChanged();
+        m_reinstateTimers.remove(target);
     });
 }
 
 void Dispatcher::requestEnded(const RequestId &request)
 {
-    m_surroundings.admission.requestEnded(request);
+    m_dependencies.admission.requestEnded(request);
 }
 
 bool Dispatcher::takeRetry(const WorkspaceId &workspace, const TargetId &target)
 {
-    return m_surroundings.admission.takeRetry(workspace, target);
+    return m_dependencies.admission.takeRetry(workspace, target);
 }
 
 } // namespace cranberry
--- a/src/daemon/Dispatcher.h
+++ b/src/daemon/Dispatcher.h
@@ -1,4 +1,3 @@
-// Defines Dispatcher, which joins quarantine, admission and the target table for delivery.
 #pragma once
 
 #include "admission/AdmissionRequest.h"
@@ -21,14 +20,14 @@
 class TimerSubscription;
 struct Configuration;
 
-/// Turns the target that was chosen into a place to send to, and what became of the send
-/// into news for the tables.
+/// Implements TargetSource on quarantine, admission and the target table: resolves a chosen
+/// target to its endpoint, and reports the outcome of each attempt to the three of them.
 /// Thread safety: only from the thread of the event loop.
 class Dispatcher final : public TargetSource
 {
 public:
-    /// All of them outlive the dispatcher.
-    struct Surroundings {
+    /// Precondition: each object outlives the dispatcher.
+    struct Dependencies {
         TimerService &timers;
         TargetTable &targets;
         AdmissionQueue &admission;
@@ -36,16 +35,19 @@
         Quarantine &quarantine;
     };
 
-    Dispatcher(const Surroundings &surroundings, DataCentreId dataCentre);
+    Dispatcher(const Dependencies &dependencies, DataCentreId dataCentre);
     ~Dispatcher() override;
 
-    /// New decisions are made under @p configuration.
+    /// Uses @p configuration for all later placements. Precondition: not null; called before the
+    /// first acquire().
     void setConfiguration(const std::shared_ptr<const Configuration> &configuration);
 
-    /// @p callback is told once for each start of a target that refuses because it leaves.
-    void onLeaving(std::function<void(const TargetId &, Incarnation)> callback)
+    /// Sets the callback that runs when a target refuses an attempt because it is shutting down,
+    /// at most once per incarnation. It does not run for targets of plain services, which report
+    /// no incarnation.
+    void onTargetLeaving(std::function<void(const TargetId &, Incarnation)> callback)
     {
-        m_leaving = std::move(callback);
+        m_leavingCallback = std::move(callback);
     }
 
     void acquire(const TargetDemand &demand, Callback callback) override;
@@ -57,29 +59,30 @@
     bool takeRetry(const WorkspaceId &workspace, const TargetId &target) override;
 
 private:
-    struct Waiting;
-    using Wait = std::shared_ptr<Waiting>;
+    struct PendingAcquire;
+    using PendingAcquirePtr = std::shared_ptr<PendingAcquire>;
 
-    void advance(const Wait &wait);
-    void placeOnProbation(const Wait &wait);
-    void placed(const Wait &wait, const Result<TargetId> &target);
-    void give(const Wait &wait, const TargetId &target);
-    void refuse(const Wait &wait, const Error &error);
-    void tryLater(const Wait &wait);
-    void targetLost(const TargetId &target);
-    void targetLeaves(const TargetId &target);
-    bool isPlain(const TargetId &target) const;
-    void bringBackAfter(const TargetId &target, Milliseconds pause);
+    void requestPlacement(const PendingAcquirePtr &pending);
+    void placeOnProbation(const PendingAcquirePtr &pending);
+    void handlePlacement(const PendingAcquirePtr &pending, const Result<TargetId> &target);
+    void completeAcquire(const PendingAcquirePtr &pending, const TargetId &target);
+    void failAcquire(const PendingAcquirePtr &pending, const Error &error);
+    void scheduleRetry(const PendingAcquirePtr &pending);
+    void handleTargetLost(const TargetId &target);
+    void handleTargetLeaving(const TargetId &target);
+    bool isPlainTarget(const TargetId &target) const;
+    void reinstateAfter(const TargetId &target, Milliseconds delay);
 
-    Surroundings m_surroundings;
+    Dependencies m_dependencies;
     const DataCentreId m_dataCentre;
     std::shared_ptr<const Configuration> m_configuration;
-    std::function<void(const TargetId &, Incarnation)> m_leaving;
-    QHash<RequestId, Wait> m_waiting;
-    /// Fingerprints of attempts that are under way.
-    QHash<AttemptId, RequestFingerprint> m_running;
-    /// Plain services report no load, so nothing else would bring their targets back.
-    QHash<TargetId, std::shared_ptr<TimerSubscription>> m_backAgain;
+    std::function<void(const TargetId &, Incarnation)> m_leavingCallback;
+    QHash<RequestId, PendingAcquirePtr> m_pendingAcquires;
+    /// Fingerprints of the attempts in progress.
+    QHash<AttemptId, RequestFingerprint> m_attemptFingerprints;
+    /// Timers that return targets of plain services to use. These targets report no load, so
+    /// without a timer a target that was marked dead would stay out of use.
+    QHash<TargetId, std::shared_ptr<TimerSubscription>> m_reinstateTimers;
 };
 
 } // namespace cranberry
--- a/src/daemon/SettingsFaults.cpp
+++ b/src/daemon/SettingsFaults.cpp
@@ -2,10 +2,10 @@
 
 namespace cranberry {
 
-void SettingsFaults::noteUnread()
+void SettingsFaults::addUnknownMembers()
 {
-    for (const QString &path : std::as_const(m_present)) {
-        if (!m_read.contains(path))
+    for (const QString &path : std::as_const(m_presentMembers)) {
+        if (!m_knownMembers.contains(path))
             add(QStringLiteral("%1: unknown member; remove it or correct its name").arg(path));
     }
 }
--- a/src/daemon/SettingsFaults.h
+++ b/src/daemon/SettingsFaults.h
@@ -1,4 +1,3 @@
-// Defines SettingsFaults, the faults found while a settings file is read.
 #pragma once
 
 #include <QList>
@@ -7,9 +6,9 @@
 
 namespace cranberry {
 
-/// Collects faults in the order in which they were found, and which members were read, so
-/// that a member nobody reads (a misspelt one) is a fault as well.
-/// Thread safety: none; one object belongs to one reading.
+/// The faults found while a settings file is parsed, in order of detection. It also tracks which
+/// members of the file are known, so that an unknown member, such as a misspelt one, is a fault.
+/// Thread safety: none; one object serves one parse.
 class SettingsFaults
 {
 public:
@@ -18,17 +17,17 @@
     /// Precondition: not empty.
     const QString &first() const { return m_faults.first(); }
 
-    /// Says that a member stands in the file.
-    void notePresent(const QString &path) { m_present.append(path); }
-    /// Says that a member is known.
-    void noteRead(const QString &path) { m_read.insert(path); }
-    /// Turns every present member that was not read into a fault.
-    void noteUnread();
+    /// Records that the file contains the member at @p path.
+    void addPresentMember(const QString &path) { m_presentMembers.append(path); }
+    /// Records that the member at @p path is a known setting.
+    void addKnownMember(const QString &path) { m_knownMembers.insert(path); }
+    /// Adds a fault for each present member that is not known.
+    void addUnknownMembers();
 
 private:
     QList<QString> m_faults;
-    QList<QString> m_present;
-    QSet<QString> m_read;
+    QList<QString> m_presentMembers;
+    QSet<QString> m_knownMembers;
 };
 
 } // namespace cranberry
--- a/src/daemon/SettingsReader.cpp
+++ b/src/daemon/SettingsReader.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-QString shown(const QJsonValue &value)
+QString compactJson(const QJsonValue &value)
 {
     if (value.isUndefined())
         return QStringLiteral("nothing");
@@ -25,7 +25,7 @@
     , m_faults(faults)
 {
     for (auto member = object.begin(); member != object.end(); ++member)
-        m_faults.notePresent(pathOf(member.key()));
+        m_faults.addPresentMember(pathOf(member.key()));
 }
 
 QString SettingsReader::pathOf(const QString &name) const
@@ -36,12 +36,12 @@
 void SettingsReader::fault(const QString &name, const QString &allowed)
 {
     m_faults.add(QStringLiteral("%1: expected %2, got %3")
-                     .arg(pathOf(name), allowed, shown(m_object.value(name))));
+                     .arg(pathOf(name), allowed, compactJson(m_object.value(name))));
 }
 
 SettingsReader SettingsReader::object(const QString &name)
 {
-    m_faults.noteRead(pathOf(name));
+    m_faults.addKnownMember(pathOf(name));
     const QJsonValue value = m_object.value(name);
     if (!value.isUndefined() && !value.isObject())
         fault(name, QStringLiteral("an object"));
@@ -50,7 +50,7 @@
 
 QString SettingsReader::string(const QString &name, const QString &fallback)
 {
-    m_faults.noteRead(pathOf(name));
+    m_faults.addKnownMember(pathOf(name));
     const QJsonValue value = m_object.value(name);
     if (value.isUndefined())
         return fallback;
@@ -61,7 +61,7 @@
 
 QString SettingsReader::requiredString(const QString &name)
 {
-    m_faults.noteRead(pathOf(name));
+    m_faults.addKnownMember(pathOf(name));
     QString value = m_object.value(name).toString();
     if (value.isEmpty())
         fault(name, QStringLiteral("a non-empty string"));
@@ -70,7 +70,7 @@
 
 bool SettingsReader::flag(const QString &name, bool fallback)
 {
-    m_faults.noteRead(pathOf(name));
+    m_faults.addKnownMember(pathOf(name));
     const QJsonValue value = m_object.value(name);
     if (value.isUndefined())
         return fallback;
@@ -79,32 +79,32 @@
     return value.toBool(fallback);
 }
 
-qint64 SettingsReader::number(const QString &name, qint64 least, qint64 most, qint64 fallback)
+qint64 SettingsReader::number(const QString &name, qint64 min, qint64 max, qint64 fallback)
 {
-    m_faults.noteRead(pathOf(name));
+    m_faults.addKnownMember(pathOf(name));
     const QJsonValue value = m_object.value(name);
     if (value.isUndefined())
         return fallback;
     const double number = value.toDouble(std::nan(""));
-    const bool allowed = value.isDouble() && number >= double(least) && number <= double(most)
+    const bool allowed = value.isDouble() && number >= double(min) && number <= double(max)
         && std::floor(number) == number;
     if (!allowed) {
-        fault(name, QStringLiteral("%1..%2").arg(least).arg(most));
+        fault(name, QStringLiteral("%1..%2").arg(min).arg(max));
         return fallback;
     }
     return qint64(number);
 }
 
-double SettingsReader::decimal(const QString &name, double least, double most, double fallback)
+double SettingsReader::decimal(const QString &name, double min, double max, double fallback)
 {
-    m_faults.noteRead(pathOf(name));
+    m_faults.addKnownMember(pathOf(name));
     const QJsonValue value = m_object.value(name);
     if (value.isUndefined())
         return fallback;
     const double number = value.toDouble(std::nan(""));
-    if (value.isDouble() && number >= least && number <= most)
+    if (value.isDouble() && number >= min && number <= max)
         return number;
-    fault(name, QStringLiteral("a number from %1 to %2").arg(least).arg(most));
+    fault(name, QStringLiteral("a number from %1 to %2").arg(min).arg(max));
     return fallback;
 }
 
--- a/src/daemon/SettingsReader.h
+++ b/src/daemon/SettingsReader.h
@@ -1,4 +1,3 @@
-// Defines SettingsReader, which reads one object of a settings file and names faults by path.
 #pragma once
 
 #include "daemon/SettingsFaults.h"
@@ -7,28 +6,30 @@
 
 namespace cranberry {
 
-/// Every read of a wrong value adds a fault and returns the fallback, so that reading goes on.
+/// Reads the members of one JSON object in a settings file. An invalid value adds a fault that
+/// names the member's path, and the fallback (for an object or a required string an empty value)
+/// is returned, so that parsing continues.
 /// Thread safety: none.
 class SettingsReader
 {
 public:
-    /// Precondition: @p faults outlives the reader. @p path is empty for the whole file.
+    /// Precondition: @p faults outlives the reader. @p path is empty for the top-level object.
     SettingsReader(const QJsonObject &object, QString path, SettingsFaults &faults);
 
-    /// The object member @p name; an empty one if it is absent.
+    /// Returns a reader of the object member @p name; of an empty object if it is absent.
     SettingsReader object(const QString &name);
     QString string(const QString &name, const QString &fallback);
-    /// A non-empty string that has to be there.
+    /// A mandatory, non-empty string.
     QString requiredString(const QString &name);
-    /// A whole number in [@p least, @p most].
-    qint64 number(const QString &name, qint64 least, qint64 most, qint64 fallback);
-    /// A number in [@p least, @p most].
-    double decimal(const QString &name, double least, double most, double fallback);
+    /// An integer in [@p min, @p max].
+    qint64 number(const QString &name, qint64 min, qint64 max, qint64 fallback);
+    /// A number in [@p min, @p max].
+    double decimal(const QString &name, double min, double max, double fallback);
 
-    /// true or false.
+    /// A boolean.
     bool flag(const QString &name, bool fallback);
 
-    /// Adds the fault that member @p name is not @p allowed.
+    /// Adds a fault for member @p name: the values @p allowed and the value found.
     void fault(const QString &name, const QString &allowed);
 
 private:
--- a/src/daemon/StatusParts.cpp
+++ b/src/daemon/StatusParts.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-QString stateName(MemberState state)
+QString toText(MemberState state)
 {
     switch (state) {
     case MemberState::Alive:
@@ -36,7 +36,7 @@
         status.append(QJsonObject{
             {QStringLiteral("vm"), member.vm.text()},
             {QStringLiteral("data_centre"), member.dataCentre.text()},
-            {QStringLiteral("state"), stateName(member.state)},
+            {QStringLiteral("state"), toText(member.state)},
             {QStringLiteral("configuration_version"), member.configurationVersion.value()}});
     }
     return status;
@@ -65,11 +65,11 @@
     QJsonArray status;
     const QDateTime wallClock = QDateTime::currentDateTimeUtc();
     for (const QuarantineEntry &entry : quarantine.entries(now)) {
-        const auto left = std::chrono::duration_cast<Milliseconds>(entry.until - now);
-        status.append(QJsonObject{
-            {QStringLiteral("workspace"), entry.workspace.text()},
-            {QStringLiteral("fingerprint"), entry.fingerprint.text()},
-            {QStringLiteral("until"), wallClock.addMSecs(left.count()).toString(Qt::ISODate)}});
+        const auto remaining = std::chrono::duration_cast<Milliseconds>(entry.until - now);
+        status.append(QJsonObject{{QStringLiteral("workspace"), entry.workspace.text()},
+                                  {QStringLiteral("fingerprint"), entry.fingerprint.text()},
+                                  {QStringLiteral("until"),
+                                   wallClock.addMSecs(remaining.count()).toString(Qt::ISODate)}});
     }
     return status;
 }
--- a/src/daemon/StatusParts.h
+++ b/src/daemon/StatusParts.h
@@ -1,4 +1,3 @@
-// Defines the parts of the operators' status page that a daemon knows.
 #pragma once
 
 #include "base/Units.h"
@@ -12,14 +11,16 @@
 class TargetTable;
 struct Configuration;
 
-/// Members as the status page shows them. Thread-safe.
+/// The `members` array of the operator status: one object per daemon. Thread-safe.
 QJsonArray memberStatus(const MemberView &members);
 
-/// Targets as the status page shows them. Thread-safe.
+/// The `targets` array of the operator status: one object per target with its load and state.
+/// Thread-safe.
 QJsonArray targetStatus(const TargetTable &targets, const Configuration &configuration,
                         MonotonicTime now);
 
-/// Requests that are held back. Thread-safe.
+/// The `quarantine` array of the operator status: one object per quarantined request with the
+/// time at which its quarantine ends. Thread-safe.
 QJsonArray quarantineStatus(Quarantine &quarantine, MonotonicTime now);
 
 } // namespace cranberry
--- a/src/relay/RelaySettings.cpp
+++ b/src/relay/RelaySettings.cpp
@@ -77,7 +77,7 @@
         readDuration(reader, QStringLiteral("target_heartbeat_ms"), settings.targetHeartbeat);
     settings.isFirstStart = reader.flag(QStringLiteral("first_start"), settings.isFirstStart);
     settings.grace = readDuration(reader, QStringLiteral("grace_ms"), settings.grace);
-    faults.noteUnread();
+    faults.addUnknownMembers();
     if (!faults.isEmpty())
         return Error{ErrorKind::BadRequest, Ran::No, faults.first(), {}, {}};
     return settings;
