--- a/src/console/ConsolePage.cpp
+++ b/src/console/ConsolePage.cpp
@@ -4,9 +4,9 @@
 
 #include <array>
 
-/// The library is static: without this call the linker would leave the resource out. The
-/// macro works in the global namespace only.
-static void initialiseConsoleResource()
+/// Registers the console's Qt resource. The library is static, so without this call the linker
+/// drops the resource. The macro works in the global namespace only.
+static void initializeConsoleResource()
 {
     Q_INIT_RESOURCE(console);
 }
@@ -35,8 +35,9 @@
     {"/console/schema.json", ":/console/schema.json", "application/json"},
 }};
 
-/// Only the console's own files run, nothing may frame it, and no form leaves it: text from a
-/// document or a status that gets into the page by mistake still cannot act.
+/// Allows only the console's own scripts and styles, and forbids framing and form submission. If
+/// text from a configuration document or a status is inserted as markup by mistake, no script in
+/// it runs.
 const char ContentSecurityPolicy[] =
     "default-src 'none'; script-src 'self'; style-src 'self'; connect-src 'self'; "
     "form-action 'none'; base-uri 'none'; frame-ancestors 'none'";
@@ -47,7 +48,7 @@
 {
     if (method != "GET")
         return std::nullopt;
-    initialiseConsoleResource();
+    initializeConsoleResource();
     for (const ConsoleFile &file : ConsoleFiles) {
         if (path != file.path)
             continue;
--- a/src/console/ConsolePage.h
+++ b/src/console/ConsolePage.h
@@ -1,4 +1,3 @@
-// Defines the files of the operators' console.
 #pragma once
 
 #include "http/HttpResponse.h"
@@ -7,8 +6,9 @@
 
 namespace cranberry {
 
-/// The answer to a request for one of the console's files; nothing if @p path is none of
-/// theirs or @p method is not GET. The files hold no secret. Thread-safe.
+/// Returns the response to a request for one of the files of the operators' console; std::nullopt
+/// if @p path is not one of them or @p method is not GET. The files contain no secrets, so no token
+/// is required. Thread-safe.
 std::optional<HttpResponse> consolePage(const QByteArray &method, const QByteArray &path);
 
 } // namespace cranberry
--- a/src/console/api.js
+++ b/src/console/api.js
@@ -1,5 +1,5 @@
-// Talks to the daemon. The operator token is held here, in memory only, and goes nowhere but
-// into the Authorization header: not into a URL, a cookie or the page's storage.
+// Client of the daemon's operator API. The operator token is kept in memory only and is sent only
+// in the Authorization header, never in a URL, a cookie or the page's storage.
 "use strict";
 
 let token = "";
@@ -8,7 +8,7 @@
   token = text;
 }
 
-async function call(method, path, body, headers = {}) {
+async function request(method, path, body, headers = {}) {
   const response = await fetch(path, {
     method,
     body,
@@ -31,22 +31,22 @@
 }
 
 export function readConfiguration() {
-  return call("GET", "/v1/configuration");
+  return request("GET", "/v1/configuration");
 }
 
 export function validate(document) {
-  return call("POST", "/v1/configuration/validate", JSON.stringify(document));
+  return request("POST", "/v1/configuration/validate", JSON.stringify(document));
 }
 
 export function submit(version, document) {
-  return call("PUT", "/v1/configuration", JSON.stringify(document), {
+  return request("PUT", "/v1/configuration", JSON.stringify(document), {
     "Content-Type": "application/json",
     "If-Match": `"${version}"`,
   });
 }
 
 export function readStatus() {
-  return call("GET", "/v1/status");
+  return request("GET", "/v1/status");
 }
 
 export async function readSchema() {
--- a/src/console/console.js
+++ b/src/console/console.js
@@ -1,4 +1,4 @@
-// The console: signs in, keeps the draft document and shows one page at a time.
+// Entry point of the console: signs in, holds the draft configuration and shows one page at a time.
 "use strict";
 
 import { readConfiguration, readSchema, setToken } from "./api.js";
@@ -8,7 +8,7 @@
 import { reviewPage } from "./review.js";
 import { loadStatusPage } from "./status.js";
 
-const REFRESH_MS = 5000;
+const STATUS_REFRESH_MS = 5000;
 const PARTS = ["services", "models", "workspaces", "targets"];
 const PAGES = ["status", ...PARTS, "review"];
 
@@ -16,21 +16,21 @@
 
 const context = {
   schema: null,
-  base: { version: 0, document: {} },
+  original: { version: 0, document: {} },
   draft: {},
   faults: [],
-  race: null,
-  open: new Set(),
+  conflict: null,
+  openEntries: new Set(),
   filter: {},
   page: "status",
-  say: (text) => { byId("message").textContent = text; },
-  changed: () => showSummary(),
+  showMessage: (text) => { byId("message").textContent = text; },
+  onDraftChange: () => updateSummary(),
   render: () => render(),
 };
 
-function showSummary() {
-  const count = differences(context.base.document, context.draft).length;
-  byId("summary").textContent = `version ${context.base.version}`
+function updateSummary() {
+  const count = differences(context.original.document, context.draft).length;
+  byId("summary").textContent = `version ${context.original.version}`
     + (count === 0 ? "" : `, ${count} changes in the draft`);
   for (const tab of byId("tabs").children) {
     tab.setAttribute("aria-current", tab.dataset.page === context.page ? "page" : "false");
@@ -45,9 +45,9 @@
 }
 
 function render() {
-  showSummary();
+  updateSummary();
   if (context.page === "status") {
-    showStatus().catch((error) => context.say(`No answer: ${error.message}`));
+    showStatus().catch((error) => context.showMessage(`No response from the daemon: ${error.message}`));
   } else if (context.page === "review") {
     byId("main").replaceChildren(reviewPage(context));
   } else {
@@ -57,12 +57,12 @@
 
 function openPage(page) {
   context.page = page;
-  context.say("");
+  context.showMessage("");
   render();
   byId("main").focus();
 }
 
-function showTabs() {
+function createTabs() {
   byId("tabs").replaceChildren(...PAGES.map((page) => {
     const tab = button(page, () => openPage(page));
     tab.dataset.page = page;
@@ -72,36 +72,36 @@
 
 async function signIn() {
   setToken(byId("token").value);
-  const present = await readConfiguration();
-  if (!present.ok) {
-    context.say(present.json.detail ?? `HTTP ${present.status}`);
+  const current = await readConfiguration();
+  if (!current.ok) {
+    context.showMessage(current.json.detail ?? `HTTP ${current.status}`);
     return;
   }
   byId("token").value = "";
   context.schema = await readSchema();
-  context.base = { version: present.version, document: present.json };
-  context.draft = structuredClone(present.json);
+  context.original = { version: current.version, document: current.json };
+  context.draft = structuredClone(current.json);
   byId("sign-in").hidden = true;
   byId("tabs").hidden = false;
   byId("main").hidden = false;
-  context.say("");
-  showTabs();
+  context.showMessage("");
+  createTabs();
   render();
   setInterval(() => {
     if (context.page === "status" && !document.hidden) {
       render();
     }
-  }, REFRESH_MS);
+  }, STATUS_REFRESH_MS);
 }
 
 byId("sign-in").onsubmit = (event) => {
   event.preventDefault();
-  signIn().catch((error) => context.say(`No answer: ${error.message}`));
+  signIn().catch((error) => context.showMessage(`No response from the daemon: ${error.message}`));
 };
 
-// A draft lives in this page only; leaving it by accident would lose what was typed.
+// The draft exists only in this page: the browser asks for confirmation before the page is left.
 window.onbeforeunload = (event) => {
-  if (differences(context.base.document, context.draft).length > 0) {
+  if (differences(context.original.document, context.draft).length > 0) {
     event.preventDefault();
   }
 };
--- a/src/console/document.js
+++ b/src/console/document.js
@@ -1,4 +1,5 @@
-// Works on configuration documents: differences, merge patches and races. No page, no network.
+// Functions on configuration documents: differences, merge patches and conflicting changes. They use
+// neither the page nor the network.
 "use strict";
 
 export function isObject(value) {
@@ -16,21 +17,21 @@
   return a === b;
 }
 
-/** What differs, as { path, before, after } in the order of the paths. */
+/** The changes from `before` to `after` as { path, before, after }, sorted by path. */
 export function differences(before, after, path = "") {
   const names = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
   return names.flatMap((name) => {
-    const inside = path === "" ? name : `${path}.${name}`;
+    const childPath = path === "" ? name : `${path}.${name}`;
     const a = before[name];
     const b = after[name];
     if (isObject(a) && isObject(b)) {
-      return differences(a, b, inside);
+      return differences(a, b, childPath);
     }
-    return equal(a, b) ? [] : [{ path: inside, before: a, after: b }];
+    return equal(a, b) ? [] : [{ path: childPath, before: a, after: b }];
   });
 }
 
-/** RFC 7396: `patch` applied to `target`. */
+/** Returns `target` with the RFC 7396 merge patch `patch` applied. */
 export function mergePatch(target, patch) {
   const result = isObject(target) ? { ...target } : {};
   for (const [name, value] of Object.entries(patch)) {
@@ -45,7 +46,7 @@
   return result;
 }
 
-/** The RFC 7396 patch that turns `from` into `to`. */
+/** Returns the RFC 7396 merge patch that turns `from` into `to`. */
 export function mergePatchBetween(from, to) {
   const patch = {};
   for (const name of Object.keys(from)) {
@@ -63,14 +64,14 @@
   return patch;
 }
 
-/** True if one of the two paths lies inside the other, or they are the same. */
-function touches(a, b) {
+/** True if the paths are the same or one contains the other. */
+function pathsOverlap(a, b) {
   return a === b || a.startsWith(`${b}.`) || b.startsWith(`${a}.`);
 }
 
-/** The differences of `mine` that `theirs` changed otherwise at the same place. */
-export function clashes(mine, theirs) {
+/** Returns the changes in `mine` that overlap a change in `theirs`, unless both set the same value at the same path. */
+export function conflictingChanges(mine, theirs) {
   return mine.filter((own) => theirs.some(
-    (other) => touches(own.path, other.path)
+    (other) => pathsOverlap(own.path, other.path)
       && !(own.path === other.path && equal(own.after, other.after))));
 }
--- a/src/console/elements.js
+++ b/src/console/elements.js
@@ -1,19 +1,19 @@
-// Makes page elements. All text goes through textContent: a name or value from a document or
-// a status can never become markup.
+// Creates page elements. All text is inserted as text nodes, so that a name or value from a
+// configuration document or a status is never parsed as markup.
 "use strict";
 
-/** An element with properties, attributes for names with a hyphen, and children. */
+/** Creates an element. Property names with a hyphen are set as attributes; null children are left out. */
 export function element(tag, properties = {}, ...children) {
-  const made = document.createElement(tag);
+  const node = document.createElement(tag);
   for (const [name, value] of Object.entries(properties)) {
     if (name.includes("-")) {
-      made.setAttribute(name, value);
+      node.setAttribute(name, value);
     } else {
-      made[name] = value;
+      node[name] = value;
     }
   }
-  made.append(...children.filter((child) => child !== null).map(asNode));
-  return made;
+  node.append(...children.filter((child) => child !== null).map(asNode));
+  return node;
 }
 
 function asNode(child) {
@@ -24,7 +24,7 @@
   return element("button", { type: "button", onclick, ...properties }, text);
 }
 
-/** A table with a heading and a caption; each cell is a text or an element. */
+/** Creates a table with a caption and column headings; each cell is a text or an element. */
 export function table(caption, headings, rows) {
   const head = element("tr", {}, ...headings.map((text) => element("th", { scope: "col" }, text)));
   const body = rows.map((cells) => element("tr", {}, ...cells.map((cell) => element("td", {}, cell))));
--- a/src/console/forms.js
+++ b/src/console/forms.js
@@ -1,13 +1,13 @@
-// Builds the forms of the document's parts from its schema, so that schema, check and forms
-// know the same members.
+// Builds the forms for the parts of a configuration document from its JSON schema, so that the
+// forms have the same members that the schema describes and the daemon validates.
 "use strict";
 
 import { button, element } from "./elements.js";
 
-const SHOWN_ENTRIES = 50;
+const MAX_SHOWN_ENTRIES = 50;
 let nextId = 0;
 
-/** Follows "$ref" inside `schema`. */
+/** Returns `property` merged with the definition in `schema` that its "$ref" names. */
 function resolve(schema, property) {
   const reference = property.$ref;
   return reference ? { ...schema.$defs[reference.split("/").pop()], ...property } : property;
@@ -21,46 +21,46 @@
   return "default" in property ? `default: ${property.default}` : "none";
 }
 
-/** A <select>; `options` are { value, text }, compared by their JSON. */
+/** Creates a <select>. `options` are { value, text }; the option whose JSON equals that of `value` is selected. */
 function select(id, options, value, onchange) {
-  const made = element("select", { id });
+  const node = element("select", { id });
   for (const option of options) {
     const json = JSON.stringify(option.value) ?? "";
     const selected = json === (JSON.stringify(value) ?? "");
-    made.append(element("option", { value: json, selected }, option.text));
+    node.append(element("option", { value: json, selected }, option.text));
   }
-  made.onchange = () => onchange(made.value === "" ? undefined : JSON.parse(made.value));
-  return made;
+  node.onchange = () => onchange(node.value === "" ? undefined : JSON.parse(node.value));
+  return node;
 }
 
-function choice(id, property, values, value, onchange, required) {
+function choiceInput(id, property, values, value, onchange, required) {
   const options = values.map((one) => ({ value: one, text: one === true ? "yes" : one === false ? "no" : one }));
   if (!required || value === undefined) {
     options.unshift({ value: undefined, text: `(${defaultText(property)})` });
   }
   if (value !== undefined && !values.includes(value)) {
-    options.push({ value, text: `${value} (not there)` });
+    options.push({ value, text: `${value} (not defined)` });
   }
   return select(id, options, value, onchange);
 }
 
 function numberInput(id, property, value, onchange) {
-  const made = element("input", { id, type: "number", value: value ?? "", placeholder: defaultText(property) });
-  made.step = property.type === "integer" ? "1" : "any";
-  made.min = property.minimum ?? property.exclusiveMinimum ?? "";
-  made.max = property.maximum ?? "";
-  made.onchange = () => onchange(made.value === "" ? undefined : Number(made.value));
-  return made;
+  const node = element("input", { id, type: "number", value: value ?? "", placeholder: defaultText(property) });
+  node.step = property.type === "integer" ? "1" : "any";
+  node.min = property.minimum ?? property.exclusiveMinimum ?? "";
+  node.max = property.maximum ?? "";
+  node.onchange = () => onchange(node.value === "" ? undefined : Number(node.value));
+  return node;
 }
 
 function textInput(id, property, value, onchange, required) {
-  const made = element("input", { id, type: "text", value: value ?? "", required, spellcheck: false });
-  made.onchange = () => onchange(made.value === "" ? undefined : made.value.trim());
-  return made;
+  const node = element("input", { id, type: "text", value: value ?? "", required, spellcheck: false });
+  node.onchange = () => onchange(node.value === "" ? undefined : node.value.trim());
+  return node;
 }
 
-/** One check box for each name that may be chosen. */
-function checkBoxes(names, value, onchange) {
+/** Creates one check box for each name that can be selected. */
+function checkboxes(names, value, onchange) {
   const chosen = value ?? [];
   const all = [...names, ...chosen.filter((name) => !names.includes(name))];
   return all.map((name) => {
@@ -71,27 +71,27 @@
       value = box.checked ? [...now, name] : now;
       onchange(value);
     };
-    const text = names.includes(name) ? name : `${name} (not there)`;
+    const text = names.includes(name) ? name : `${name} (not defined)`;
     return element("div", { className: "row" }, box, element("label", { htmlFor: id }, text));
   });
 }
 
-function lines(id, value, onchange) {
-  const made = element("textarea", { id, rows: 3, value: (value ?? []).join("\n"), spellcheck: false });
-  made.onchange = () => onchange(made.value.split(/\s+/).filter((line) => line !== ""));
-  return made;
+function linesInput(id, value, onchange) {
+  const node = element("textarea", { id, rows: 3, value: (value ?? []).join("\n"), spellcheck: false });
+  node.onchange = () => onchange(node.value.split(/\s+/).filter((line) => line !== ""));
+  return node;
 }
 
 function inputFor(context, id, property, value, onchange, required) {
   if (property["x-refers-to"]) {
     const names = Object.keys(context.draft[property["x-refers-to"]] ?? {}).sort();
-    return choice(id, property, names, value, onchange, required);
+    return choiceInput(id, property, names, value, onchange, required);
   }
   if (property.enum) {
-    return choice(id, property, property.enum, value, onchange, required);
+    return choiceInput(id, property, property.enum, value, onchange, required);
   }
   if (property.type === "boolean") {
-    return choice(id, property, [true, false], value, onchange, required);
+    return choiceInput(id, property, [true, false], value, onchange, required);
   }
   if (property.type === "integer" || property.type === "number") {
     return numberInput(id, property, value, onchange);
@@ -105,22 +105,22 @@
   if (refersTo) {
     const names = Object.keys(context.draft[refersTo] ?? {}).sort();
     return element("fieldset", { className: "field wide" }, element("legend", {}, labelOf(name)),
-      help, ...checkBoxes(names, value, onchange));
+      help, ...checkboxes(names, value, onchange));
   }
   if (property.type === "object") {
     const inner = fields(context, property, value ?? {}, (now) => onchange(Object.keys(now).length ? now : undefined));
     return element("fieldset", { className: "field wide" }, element("legend", {}, labelOf(name)), help, inner);
   }
   const id = `f${nextId++}`;
-  const input = property.type === "array" ? lines(id, value, onchange)
+  const input = property.type === "array" ? linesInput(id, value, onchange)
     : inputFor(context, id, property, value, onchange, required);
   return element("div", { className: property.type === "array" ? "field wide" : "field" },
     element("label", { htmlFor: id }, labelOf(name)), input, help);
 }
 
-/** The fields of one object; `onchange` is told the whole object anew. */
+/** Creates the fields of one object; `onchange` receives a new copy of the whole object. */
 function fields(context, definition, value, onchange) {
-  const made = Object.entries(definition.properties).map(([name, raw]) => {
+  const children = Object.entries(definition.properties).map(([name, raw]) => {
     const required = (definition.required ?? []).includes(name);
     return field(context, name, resolve(context.schema, raw), value[name], (now) => {
       value = { ...value };
@@ -132,11 +132,11 @@
       onchange(value);
     }, required);
   });
-  return element("div", { className: "fields" }, ...made);
+  return element("div", { className: "fields" }, ...children);
 }
 
-/** The SHA-256 of a key can be made here only where the browser allows it. */
-function keyAdder(entry, onadd) {
+/** Creates the form that adds an API key; null where the browser has no crypto.subtle to hash it. */
+function keyForm(entry, onAdd) {
   if (!globalThis.crypto?.subtle) {
     return null;
   }
@@ -149,9 +149,9 @@
     const bytes = await crypto.subtle.digest("SHA-256", new TextEncoder().encode(input.value));
     const hash = [...new Uint8Array(bytes)].map((byte) => byte.toString(16).padStart(2, "0")).join("");
     input.value = "";
-    onadd({ ...entry(), key_sha256: [...(entry().key_sha256 ?? []), hash] });
+    onAdd({ ...entry(), key_sha256: [...(entry().key_sha256 ?? []), hash] });
   };
-  return element("div", { className: "row" }, element("label", { htmlFor: id }, "Add a key (only its hash is kept)"),
+  return element("div", { className: "row" }, element("label", { htmlFor: id }, "Add a key (only its SHA-256 hash is stored)"),
     input, button("Add key", add, { className: "plain" }));
 }
 
@@ -160,31 +160,31 @@
   const entry = () => context.draft[part][name];
   const set = (now) => {
     context.draft[part][name] = now;
-    context.changed();
+    context.onDraftChange();
   };
   const remove = button(`Remove ${name}`, () => {
     delete context.draft[part][name];
-    context.changed();
+    context.onDraftChange();
     context.render();
   }, { className: "plain" });
-  const made = element("details", { open }, element("summary", {}, name));
+  const node = element("details", { open }, element("summary", {}, name));
   const fill = () => {
-    const adder = part === "workspaces" ? keyAdder(entry, (now) => { set(now); context.render(); }) : null;
-    made.append(fields(context, definition, entry(), set), ...(adder ? [adder] : []), remove);
+    const keyInput = part === "workspaces" ? keyForm(entry, (now) => { set(now); context.render(); }) : null;
+    node.append(fields(context, definition, entry(), set), ...(keyInput ? [keyInput] : []), remove);
   };
-  made.ontoggle = () => {
-    context.open[made.open ? "add" : "delete"](`${part}.${name}`);
-    if (made.open && made.children.length === 1) {
+  node.ontoggle = () => {
+    context.openEntries[node.open ? "add" : "delete"](`${part}.${name}`);
+    if (node.open && node.children.length === 1) {
       fill();
     }
   };
   if (open) {
     fill();
   }
-  return made;
+  return node;
 }
 
-function adder(context, part) {
+function newEntryForm(context, part) {
   const id = `f${nextId++}`;
   const pattern = context.schema.properties[part].propertyNames.pattern;
   const input = element("input", { id, type: "text", required: true, pattern, spellcheck: false });
@@ -195,17 +195,17 @@
     const name = input.value.trim();
     context.draft[part] ??= {};
     context.draft[part][name] ??= {};
-    context.open.add(`${part}.${name}`);
+    context.openEntries.add(`${part}.${name}`);
     context.filter[part] = "";
-    context.changed();
+    context.onDraftChange();
     context.render();
   };
   return form;
 }
 
 /**
- * The form of one part of the document. `context` has the schema, the draft document, the set
- * of open entries, the filter of each part, and changed() and render().
+ * Creates the form for one part of the document. `context` holds the schema, the draft document,
+ * the set of open entries, the filter of each part, onDraftChange() and render().
  */
 export function partForm(context, part) {
   const names = Object.keys(context.draft[part] ?? {}).sort();
@@ -217,9 +217,9 @@
     context.filter[part] = search.value;
     context.render();
   };
-  const shown = matching.slice(0, SHOWN_ENTRIES);
-  return element("section", {}, element("h2", {}, labelOf(part)), adder(context, part),
-    element("div", { className: "row" }, element("label", { htmlFor: id }, "Show those with"), search,
+  const shown = matching.slice(0, MAX_SHOWN_ENTRIES);
+  return element("section", {}, element("h2", {}, labelOf(part)), newEntryForm(context, part),
+    element("div", { className: "row" }, element("label", { htmlFor: id }, "Filter by name"), search,
       element("span", {}, `${shown.length} of ${names.length}`)),
-    ...shown.map((name) => entryForm(context, part, name, context.open.has(`${part}.${name}`))));
+    ...shown.map((name) => entryForm(context, part, name, context.openEntries.has(`${part}.${name}`))));
 }
--- a/src/console/review.js
+++ b/src/console/review.js
@@ -1,17 +1,18 @@
-// Shows what a draft would change, submits it, and shows a race that it lost.
+// The review page: shows the changes in the draft, submits it, and shows a conflict with a version
+// that was accepted first.
 "use strict";
 
 import { readConfiguration, submit, validate } from "./api.js";
-import { clashes, differences, mergePatch, mergePatchBetween } from "./document.js";
+import { conflictingChanges, differences, mergePatch, mergePatchBetween } from "./document.js";
 import { button, element, table } from "./elements.js";
 
 const PRECONDITION_FAILED = 412;
 
-function shown(value) {
+function jsonCode(value) {
   return element("code", {}, value === undefined ? "-" : JSON.stringify(value));
 }
 
-/** Names may hold dots themselves, so each step takes the longest name that fits. */
+/** Returns the value at `path`. Names may contain dots, so each step takes the longest name that matches. */
 function valueAt(document, path) {
   if (path === "" || document === undefined) {
     return document;
@@ -21,9 +22,9 @@
   return name === undefined ? undefined : valueAt(document[name], path.slice(name.length + 1));
 }
 
-function differenceTable(caption, list) {
+function differenceTable(caption, changes) {
   return table(caption, ["path", "before", "after"],
-    list.map((one) => [one.path, shown(one.before), shown(one.after)]));
+    changes.map((change) => [change.path, jsonCode(change.before), jsonCode(change.after)]));
 }
 
 function faultList(faults) {
@@ -31,80 +32,81 @@
     element("ul", {}, ...faults.map((fault) => element("li", {}, `${fault.path}: ${fault.message}`))));
 }
 
-/** What others changed since the draft was begun, and where it meets the draft's changes. */
-function racePanel(context) {
-  const { version, document } = context.race;
-  const mine = differences(context.base.document, context.draft);
-  const theirs = differences(context.base.document, document);
-  const both = clashes(mine, theirs);
-  const takeOver = () => {
-    const patch = mergePatchBetween(context.base.document, context.draft);
-    context.base = { version, document };
+/** Shows what others changed since the draft was begun, and which of these changes conflict with it. */
+function conflictPanel(context) {
+  const { version, document } = context.conflict;
+  const mine = differences(context.original.document, context.draft);
+  const theirs = differences(context.original.document, document);
+  const conflicts = conflictingChanges(mine, theirs);
+  const rebaseDraft = () => {
+    const patch = mergePatchBetween(context.original.document, context.draft);
+    context.original = { version, document };
     context.draft = mergePatch(document, patch);
-    context.race = null;
-    context.say(`The draft now follows on version ${version}; look at it and apply it again.`);
+    context.conflict = null;
+    context.showMessage(`The draft is now based on version ${version}. Review it and apply it again.`);
     context.render();
   };
   return element("section", { className: "race" },
-    element("h3", {}, `Version ${version} came first`),
-    element("p", {}, `Your draft was begun from version ${context.base.version}. Nothing was applied, and what you typed is kept.`),
-    differenceTable("Changed by others meanwhile", theirs),
-    both.length === 0 ? element("p", { className: "good" }, "No place was changed by both.")
-      : table("Changed by both: your value would replace theirs", ["path", "yours", "theirs"],
-        both.map((one) => [one.path, shown(one.after), shown(valueAt(document, one.path))])),
-    button("Put my changes on top of the new version", takeOver));
+    element("h3", {}, `Conflict with version ${version}`),
+    element("p", {}, `Your draft is based on version ${context.original.version}. It was not applied; your changes are kept.`),
+    differenceTable("Changes by others since then", theirs),
+    conflicts.length === 0 ? element("p", { className: "good" }, "No value was changed by both.")
+      : table("Changed by both: your value will replace theirs", ["path", "yours", "theirs"],
+        conflicts.map((change) => [change.path, jsonCode(change.after), jsonCode(valueAt(document, change.path))])),
+    button("Rebase my changes onto the new version", rebaseDraft));
 }
 
-async function showRace(context) {
-  const present = await readConfiguration();
-  if (!present.ok) {
-    context.say(`The configuration changed meanwhile, and cannot be read now: ${present.json.detail}`);
+async function showConflict(context) {
+  const current = await readConfiguration();
+  if (!current.ok) {
+    context.showMessage(`The configuration was changed by others and cannot be read: ${current.json.detail}`);
     return;
   }
-  context.race = { version: present.version, document: present.json };
-  context.say("The configuration changed meanwhile. Nothing was applied.");
+  context.conflict = { version: current.version, document: current.json };
+  context.showMessage("The configuration was changed by others. The draft was not applied.");
 }
 
 async function apply(context) {
-  const answer = await submit(context.base.version, context.draft);
-  context.faults = answer.json.faults ?? [];
-  if (answer.ok) {
-    context.base = { version: answer.version, document: structuredClone(context.draft) };
-    context.say(`Accepted as version ${answer.version}.`);
-  } else if (answer.status === PRECONDITION_FAILED) {
-    await showRace(context);
+  const response = await submit(context.original.version, context.draft);
+  context.faults = response.json.faults ?? [];
+  if (response.ok) {
+    context.original = { version: response.version, document: structuredClone(context.draft) };
+    context.showMessage(`Accepted as version ${response.version}.`);
+  } else if (response.status === PRECONDITION_FAILED) {
+    await showConflict(context);
   } else {
-    context.say(`Not applied: ${answer.json.detail}`);
+    context.showMessage(`Not applied: ${response.json.detail}`);
   }
   context.render();
 }
 
 async function check(context) {
-  const answer = await validate(context.draft);
-  context.faults = answer.json.faults ?? [];
-  context.say(answer.json.valid ? "The draft is valid."
-    : `The draft is not valid: ${context.faults.length} faults. ${answer.json.detail ?? ""}`);
+  const response = await validate(context.draft);
+  context.faults = response.json.faults ?? [];
+  context.showMessage(response.json.valid ? "The draft is valid."
+    : `The draft is not valid: ${context.faults.length} faults. ${response.json.detail ?? ""}`);
   context.render();
 }
 
-/** The page on which a draft is looked at and applied. */
+/** Creates the page on which the draft is reviewed, validated and applied. */
 export function reviewPage(context) {
-  const list = differences(context.base.document, context.draft);
+  const changes = differences(context.original.document, context.draft);
   const discard = () => {
-    context.draft = structuredClone(context.base.document);
+    context.draft = structuredClone(context.original.document);
     context.faults = [];
-    context.race = null;
+    context.conflict = null;
     context.render();
   };
-  const guarded = (work) => () => work(context).catch((error) => context.say(`No answer: ${error.message}`));
-  const isIdle = list.length === 0;
+  const withErrorMessage = (action) => () => action(context).catch(
+    (error) => context.showMessage(`No response from the daemon: ${error.message}`));
+  const isUnchanged = changes.length === 0;
   return element("section", {}, element("h2", {}, "Review and apply"),
-    isIdle ? element("p", {}, "The draft changes nothing.")
-      : differenceTable(`What the draft changes in version ${context.base.version}`, list),
+    isUnchanged ? element("p", {}, "The draft has no changes.")
+      : differenceTable(`Changes to version ${context.original.version}`, changes),
     context.faults.length > 0 ? faultList(context.faults) : null,
-    context.race ? racePanel(context) : null,
+    context.conflict ? conflictPanel(context) : null,
     element("div", { className: "row" },
-      button("Check", guarded(check), { className: "plain" }),
-      button("Apply", guarded(apply), { disabled: isIdle || context.race !== null }),
-      button("Discard the draft", discard, { className: "plain", disabled: isIdle })));
+      button("Check", withErrorMessage(check), { className: "plain" }),
+      button("Apply", withErrorMessage(apply), { disabled: isUnchanged || context.conflict !== null }),
+      button("Discard the draft", discard, { className: "plain", disabled: isUnchanged })));
 }
--- a/test/support/console-driver.js
+++ b/test/support/console-driver.js
@@ -70,12 +70,12 @@
   press("Check");
   seen.faults = await until("faults", () => main().textContent.includes("workspaces.w2.services: expected") && main().textContent);
   press("Apply");
-  seen.race = await until("race", () => main().textContent.includes("Version 2 came first") && main().textContent);
+  seen.race = await until("race", () => main().textContent.includes("Conflict with version 2") && main().textContent);
   seen.summaryAfterRace = byId("summary").textContent;
   if (location.hash === "#stop-at-race") {
     return;
   }
-  press("Put my changes on top of the new version");
+  press("Rebase my changes onto the new version");
   press("Apply");
   await until("accepted", () => byId("message").textContent === "Accepted as version 3.");
   seen.summaryAtEnd = byId("summary").textContent;
