--- a/src/daemon/Daemon.h
+++ b/src/daemon/Daemon.h
@@ -26,6 +26,7 @@
     /// Precondition: called once.
     Result<void> start();
 
+    /// The bound ports; 0 before start().
     quint16 gatewayPort() const { return m_gatewayPort; }
     quint16 peerPort() const { return m_peerPort; }
 
