--- a/model/claims.pml
+++ b/model/claims.pml
@@ -1,15 +1,16 @@
-/* Claims of one shard: at most one send for one key.
+/* Claims of one shard: at most one send for one idempotency key.
  *
- * Two requests with the same key come to two daemons. The second takes itself for the one that
- * gathers the shard's claims; the first may ask another that takes itself for it too, and go the
- * direct way when no answer comes. A fourth daemon claims other keys and seals segments. A
- * process that is never scheduled again has crashed, one that is scheduled late was paused: any
- * of this may happen between any two steps.
+ * Two requests with the same key arrive at two daemons. Each shard has a gatherer, the daemon that
+ * claims keys for the others. The second daemon believes that it is the gatherer. The first daemon
+ * may ask another process that believes the same, and claims the key directly if no answer
+ * arrives. A fourth daemon claims other keys and seals segments. Every interleaving is explored:
+ * a process that is not scheduled again models a crash, one that is scheduled late models a pause,
+ * and either can happen between any two steps.
  *
- * The head of the shard is one value in the platform's service. A write to it may be answered,
- * take effect without an answer, be lost, or stay on its way and take effect later.
+ * The head of the shard is one value in the platform's store. A write to it may be answered, take
+ * effect without an answer, be lost, or be delayed and take effect later.
  *
- * Each variant lacks one guard and must fail:
+ * Each variant omits one guard and must fail:
  * broken: NO_CAS_BEFORE_SEND
  * broken: NO_REVISION_IN_SEAL
  * broken: NO_SETTLE_REREAD
@@ -17,14 +18,14 @@
  * broken: GATHERER_GIVES_BACK
  */
 
-#define FULL 2         /* claims that fill a segment */
-#define MAX_REVISION 6 /* the last write to the head that is looked at; the first is given */
+#define SEGMENT_CAPACITY 2 /* claims in a full segment */
+#define MAX_REVISION 6     /* bound on writes to the head; revision 1 is the initial state */
 #define MAX_SEALS 2
-#define FILLS 3 /* further claims for other keys */
+#define OTHER_CLAIMS 3 /* claims for other keys, besides the initial one */
 
-/* What a write does to the head: claims the key for attempt 1 or 2, or one of these. */
+/* The change that a write makes to the head: 1 or 2 claims the key for that attempt, or: */
 #define CLAIM_OTHER 0
-#define GIVE_BACK 3
+#define RELEASE 3
 
 #define NOBODY 0
 #define SWAPPED 1
@@ -35,7 +36,7 @@
 #define HELD 2
 
 typedef Head {
-    byte holder; /* the attempt whose claim for the key stands in the open segment */
+    byte holder; /* attempt that claims the key in the open segment */
     byte claims; /* claims in the open segment */
     byte sequence;
     byte sealed[MAX_SEALS] /* name of each sealed segment, plus one; 0: none */
@@ -47,13 +48,13 @@
 bool segmentExists[MAX_REVISION + 1]; /* sealed segments by name */
 byte segmentHolder[MAX_REVISION + 1];
 
-/* A write on its way that expects the present revision; one that expects another is dead. Of
- * several only one can take effect, so it is enough to follow one. */
-bool lateUnderWay;
-bool lateSeals;
-byte lateChange;
+/* A delayed write that expects the current revision. A write that expects another revision has no
+ * effect, and of several with the same revision only one can take effect, so one is modelled. */
+bool delayedPending;
+bool delayedSeals;
+byte delayedChange;
 
-byte gathered; /* the gatherer's answer to the first request */
+byte gathererResult; /* the gatherer's answer to the first daemon; 0: none */
 bool asked;
 byte sends;
 
@@ -68,13 +69,13 @@
 #ifdef NO_SEALED_KNOWLEDGE
 #define HOLDER (head.holder)
 #else
-/* Of the open segment and of all sealed ones that the head names. */
+/* The holder in the open segment or in any sealed segment that the head names. */
 #define HOLDER                                                                                     \
     (head.holder != NOBODY   -> head.holder   :                                                    \
      (IN_SEALED(0) != NOBODY -> IN_SEALED(0) : IN_SEALED(1)))
 #endif
 
-inline takeEffect(change, seals)
+inline applyWrite(change, seals)
 {
     if
     :: seals ->
@@ -86,7 +87,7 @@
     fi;
     if
     :: change == CLAIM_OTHER -> head.claims++
-    :: change == GIVE_BACK ->
+    :: change == RELEASE ->
         head.holder = NOBODY;
         head.claims--
     :: else ->
@@ -94,67 +95,67 @@
         head.claims++
     fi;
     revision++;
-    lateUnderWay = false;
-    lateSeals = false;
-    lateChange = 0
+    delayedPending = false;
+    delayedSeals = false;
+    delayedChange = 0
 }
 
-/* Reads the head into seen, seenHolder and name; chooses whether to seal. A segment is sealed
- * when it is full, or before, as settings may differ between daemons. */
+/* Reads the head into readRevision, readHolder and segmentName, and chooses whether to seal. A
+ * full segment is sealed; one that is not full may be, as settings can differ between daemons. */
 inline readHead()
 {
-    seen = revision;
-    seenHolder = head.holder;
-    name = SEGMENT_NAME;
+    readRevision = revision;
+    readHolder = head.holder;
+    segmentName = SEGMENT_NAME;
     if
     :: head.claims > 0 && head.sequence < MAX_SEALS -> seals = true
-    :: head.claims < FULL -> seals = false
+    :: head.claims < SEGMENT_CAPACITY -> seals = false
     fi
 }
 
-/* Copies the segment that was read aside; what has that name already is taken for it. */
+/* Writes the segment that was read as a sealed segment, unless one of that name exists. */
 inline sealSegment()
 {
     atomic {
         if
-        :: !segmentExists[name] ->
-            segmentExists[name] = true;
-            segmentHolder[name] = seenHolder
+        :: !segmentExists[segmentName] ->
+            segmentExists[segmentName] = true;
+            segmentHolder[segmentName] = readHolder
         :: else
         fi;
-        seenHolder = NOBODY;
-        name = 0
+        readHolder = NOBODY;
+        segmentName = 0
     }
 }
 
-/* Compare-and-swap of the head that was read; sets `outcome`. Blocks at the bound. */
+/* Compare-and-swap of the head that was read; sets `outcome`. Blocks at MAX_REVISION. */
 inline compareAndSwap(change)
 {
     atomic {
         revision < MAX_REVISION;
         if
-        :: revision == seen ->
-            takeEffect(change, seals);
+        :: revision == readRevision ->
+            applyWrite(change, seals);
             if
             :: outcome = SWAPPED
             :: outcome = UNKNOWN
             fi
-        :: revision == seen && !lateUnderWay ->
-            lateUnderWay = true;
-            lateSeals = seals;
-            lateChange = change;
+        :: revision == readRevision && !delayedPending ->
+            delayedPending = true;
+            delayedSeals = seals;
+            delayedChange = change;
             outcome = UNKNOWN
-        :: revision != seen -> outcome = CONFLICT
-        :: outcome = UNKNOWN /* the request was lost, or the answer to a conflict */
+        :: revision != readRevision -> outcome = CONFLICT
+        :: outcome = UNKNOWN /* the request, or the answer to a conflict, is lost */
         fi;
-        seen = 0;
-        seenHolder = NOBODY;
-        name = 0;
+        readRevision = 0;
+        readHolder = NOBODY;
+        segmentName = 0;
         seals = false
     }
 }
 
-/* Claims the key for `attempt`; sets `result` to WON, HELD or 0: could not be settled. */
+/* Claims the key for `attempt`; sets `result` to WON, HELD or 0 (outcome not known). */
 inline claim(attempt)
 {
     do
@@ -180,8 +181,8 @@
 #ifdef NO_SETTLE_REREAD
             :: outcome == UNKNOWN -> result = WON; break
 #else
-            :: outcome == UNKNOWN /* settled by the read at the top */
-            :: outcome == UNKNOWN -> break /* given up: refused, and never sent afterwards */
+            :: outcome == UNKNOWN /* resolved by the read at the top */
+            :: outcome == UNKNOWN -> break /* abandoned: refused and never sent */
 #endif
             :: outcome == CONFLICT
             fi
@@ -192,20 +193,20 @@
 
 proctype Gatherer()
 {
-    byte seen, seenHolder, name, outcome, result;
+    byte readRevision, readHolder, segmentName, outcome, result;
     bool seals;
 
     asked;
     claim(1);
-    gathered = result;
+    gathererResult = result;
 #ifdef GATHERER_GIVES_BACK
     atomic {
         if
-        :: result == 0 && head.holder == 1 -> seen = revision
+        :: result == 0 && head.holder == 1 -> readRevision = revision
         :: else -> goto done
         fi
     }
-    compareAndSwap(GIVE_BACK);
+    compareAndSwap(RELEASE);
 done:
     skip
 #endif
@@ -213,15 +214,15 @@
 
 proctype Entry(byte attempt)
 {
-    byte seen, seenHolder, name, outcome, result;
+    byte readRevision, readHolder, segmentName, outcome, result;
     bool seals;
 
     if
     :: attempt == 1 ->
         asked = true;
         if
-        :: gathered != 0 -> result = gathered
-        :: claim(attempt) /* no answer in time: the direct way */
+        :: gathererResult != 0 -> result = gathererResult
+        :: claim(attempt) /* no answer in time: claims the key directly */
         fi
     :: claim(attempt)
     fi;
@@ -231,28 +232,28 @@
         sends++;
         assert(sends <= 1);
         goto done
-    :: result == WON /* refused before it was sent: the claim is given back */
+    :: result == WON /* refused before it was sent: releases the claim */
     fi;
     atomic {
         if
-        :: head.holder == attempt -> seen = revision
-        :: else -> goto done /* sealed by now: the key stays taken */
+        :: head.holder == attempt -> readRevision = revision
+        :: else -> goto done /* already sealed: the key stays claimed */
         fi
     }
-    compareAndSwap(GIVE_BACK);
+    compareAndSwap(RELEASE);
 done:
     skip
 }
 
-proctype Filler()
+proctype OtherClaimer()
 {
-    byte seen, seenHolder, name, outcome, fills;
+    byte readRevision, readHolder, segmentName, outcome, otherClaims;
     bool seals;
 
     do
-    :: fills < FILLS ->
+    :: otherClaims < OTHER_CLAIMS ->
         atomic {
-            fills++;
+            otherClaims++;
             readHead()
         }
         if
@@ -265,13 +266,13 @@
     od
 }
 
-/* A write on its way arrives. */
+/* Delivers the delayed write. */
 proctype Network()
 {
 end:
     do
     :: atomic {
-            lateUnderWay && revision < MAX_REVISION -> takeEffect(lateChange, lateSeals)
+            delayedPending && revision < MAX_REVISION -> applyWrite(delayedChange, delayedSeals)
         }
     od
 }
@@ -284,7 +285,7 @@
         run Entry(1);
         run Entry(2);
         run Gatherer();
-        run Filler();
+        run OtherClaimer();
         run Network()
     }
 }
--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -1,17 +1,19 @@
 /* Acceptance of configuration changes, snapshots and trimming.
  *
- * Operators race through two daemons; a third only follows. The platform keeps one key a
- * change and the base record, which names the newest snapshot and says up to which version
- * changes may be gone. Answers of creates are lost after they took effect, or requests are
- * delayed and land later. Every interleaving stands for a pause of a daemon between two steps.
+ * Operators submit concurrently through two daemons; a third daemon only follows. The platform's
+ * store holds one key for each change and the base record, which names the newest snapshot and the
+ * version up to which changes may have been removed. The answer to a create can be lost after the
+ * create took effect, and a request can be delayed and take effect later. Every interleaving
+ * models a pause of a daemon between two steps.
  *
- * Holds: a version has one change; an operator who was told "accepted" was, one who was told
- * "refused" was not and will not be; the version at a daemon never falls; all daemons that
- * ever had a version had the same document of it.
+ * Invariants: a version has one change; a change reported as accepted is accepted, and one
+ * reported as refused is not and never will be; the version at a daemon never decreases; all
+ * daemons that have had a version have had the same document for it.
  *
  * A document is the list of the changes that led to it.
+ *
+ * Each variant omits one guard and must fail:
  */
-
 // broken: NO_BASE_READ
 // broken: TRIMMED_CHANGES_COUNT
 // broken: TRIM_BEFORE_BASE
@@ -20,8 +22,8 @@
 // broken: SNAPSHOT_WITHOUT_VERSION
 // broken: BASE_WITHOUT_SWAP
 
-/* Two versions, each with a snapshot, are the fewest that trim a change. The variant needs a
- * third; the whole holds with three too (30 million states, 1.4 GB). */
+/* Two versions, each with a snapshot, are the minimum that trims a change. The variant needs a
+ * third. The complete model also holds with three versions (30 million states, 1.4 GB). */
 #ifdef SNAPSHOT_WITHOUT_VERSION
 #define VERSIONS 3
 #else
@@ -29,42 +31,42 @@
 #endif
 #define SLOTS (VERSIONS + 1)
 #define SUBMISSIONS(me) (2 - me)
-#define INTERVAL 1        /* changes between snapshots */
+#define SNAPSHOT_INTERVAL 1 /* changes between snapshots */
 #define NONE 0
 
-/* The platform. */
-byte change[SLOTS];       /* id of the change whose key stands, NONE if absent */
+/* The platform's store. */
+byte change[SLOTS];       /* id of the change under the key of the version, NONE if absent */
 byte baseSnapshot;
 byte baseTrimmed;
 byte baseRevision;
-bool partPresent[SLOTS];  /* the snapshot of that version has its parts */
+bool partPresent[SLOTS];  /* the parts of the snapshot of that version exist */
 byte part[16];            /* part[s * SLOTS + v]: change of version v in snapshot s */
 
-/* A create that was sent, not answered, and has not landed; one at a time. */
+/* A create that was sent and not answered and has not taken effect; one at a time. */
 byte delayedId;
 byte delayedVersion;
 
-/* What has happened; processes read the first two only to assert. */
-byte accepted[SLOTS];     /* the change of the version, from the moment of its creation */
-bool refused[8];          /* the operator of the change was told so */
-byte agreed[SLOTS];       /* the change of the version as the first daemon applied it; that
-                             daemon's peers pull it from there */
+/* The history of the run. Processes read `accepted` and `refused` only in assertions. */
+byte accepted[SLOTS];     /* the change of the version, set when its key is created */
+bool refused[8];          /* the change was reported as refused */
+byte agreed[SLOTS];       /* the change of the version as the first daemon applied it; peers
+                             pull it from that daemon */
 
-/* Creates the key of `version` if it is absent; `landed` says whether it did. */
-inline create(id, version, landed) {
+/* Creates the key of `version` if it is absent; sets `written` to whether it did. */
+inline create(id, version, written) {
     d_step {
-        landed = false;
+        written = false;
         if
         :: change[version] == NONE ->
-            landed = true
+            written = true
 #ifdef OVERWRITE
-        :: else -> landed = true
+        :: else -> written = true
 #else
         :: else -> skip
 #endif
         fi;
         if
-        :: landed ->
+        :: written ->
             change[version] = id;
             if
             :: version > baseTrimmed ->
@@ -79,21 +81,21 @@
     }
 }
 
-/* Puts the change `id` in force as `version`. */
+/* Applies the change `id` as `version` at this daemon. */
 inline apply(id, version) {
     d_step {
         assert(agreed[version] == NONE || agreed[version] == id);
         agreed[version] = id;
-        assert(version == have + 1);
+        assert(version == ownVersion + 1);
         history[version] = id;
-        have = version
+        ownVersion = version
     }
 }
 
-/* Takes over snapshot `s` whole. */
+/* Replaces the document of this daemon by snapshot `s`. */
 inline applySnapshot(s) {
     d_step {
-        assert(s >= have);
+        assert(s >= ownVersion);
         i = 1;
         do
         :: i <= s ->
@@ -103,41 +105,44 @@
             i++
         :: else -> break
         od;
-        have = s;
+        ownVersion = s;
         i = 0
     }
 }
 
-/* Pulls what peers have. */
+/* Pulls the changes that peers have applied. */
 inline pull() {
     do
-    :: d_step { have < VERSIONS && agreed[have + 1] != NONE -> found = agreed[have + 1] }
-        apply(found, (have + 1))
+    :: d_step {
+            ownVersion < VERSIONS && agreed[ownVersion + 1] != NONE ->
+            found = agreed[ownVersion + 1]
+        }
+        apply(found, (ownVersion + 1))
     :: break
     od;
     found = NONE
 }
 
-/* One listing of the changes shows them and the base record as of one moment. */
+/* Loads changes or a snapshot. A listing returns the changes and the base record atomically. */
 inline load(pulls) {
     d_step {
         seenTrimmed = baseTrimmed;
         seenSnapshot = baseSnapshot;
         if
-        :: have < VERSIONS -> found = change[have + 1]
+        :: ownVersion < VERSIONS -> found = change[ownVersion + 1]
         :: else -> found = NONE
         fi
     }
     if
 #ifdef TRIMMED_CHANGES_COUNT
-    :: found != NONE -> apply(found, (have + 1))
-    :: found == NONE && have < seenTrimmed ->
+    :: found != NONE -> apply(found, (ownVersion + 1))
+    :: found == NONE && ownVersion < seenTrimmed ->
 #else
-    :: have >= seenTrimmed && found != NONE -> apply(found, (have + 1))
-    :: have < seenTrimmed ->
+    :: ownVersion >= seenTrimmed && found != NONE -> apply(found, (ownVersion + 1))
+    :: ownVersion < seenTrimmed ->
 #endif
-        /* The parts are read later; they may have been removed by then, and changes may
-         * have come from peers. */
+        /* The parts are read after the listing: they may have been removed, and changes may have
+         * arrived from peers. */
         if
         :: pulls -> pull()
         :: else -> skip
@@ -146,7 +151,7 @@
         :: d_step { partPresent[seenSnapshot] -> skip };
             if
 #ifndef SNAPSHOT_WITHOUT_VERSION
-            :: seenSnapshot <= have -> skip
+            :: seenSnapshot <= ownVersion -> skip
 #endif
             :: else -> applySnapshot(seenSnapshot)
             fi
@@ -157,11 +162,11 @@
     d_step { seenTrimmed = 0; seenSnapshot = 0; found = NONE }
 }
 
-/* Writes a snapshot of what this daemon has, names it in the base record, then trims. */
+/* Writes a snapshot of this daemon's document, names it in the base record, then trims. */
 inline snapshot() {
-    d_step { seenRevision = baseRevision; seenSnapshot = baseSnapshot; target = have }
+    d_step { seenRevision = baseRevision; seenSnapshot = baseSnapshot; target = ownVersion }
     if
-    :: target >= seenSnapshot + INTERVAL ->
+    :: target >= seenSnapshot + SNAPSHOT_INTERVAL ->
         d_step {
             i = 1;
             do
@@ -184,12 +189,12 @@
                 baseTrimmed = seenSnapshot;
                 baseSnapshot = target;
                 baseRevision++;
-                landed = true
-            :: else -> landed = false
+                written = true
+            :: else -> written = false
             fi
         }
         if
-        :: landed ->
+        :: written ->
             trim(seenSnapshot);
             d_step {
                 i = 0;
@@ -203,10 +208,10 @@
         fi
     :: else -> skip
     fi;
-    d_step { seenRevision = 0; seenSnapshot = 0; target = 0; landed = false }
+    d_step { seenRevision = 0; seenSnapshot = 0; target = 0; written = false }
 }
 
-/* Removes the keys of changes up to `upTo`, each if it is still what was listed. */
+/* Removes the keys of changes up to `upTo`, each only if it is unchanged since the listing. */
 inline trim(upTo) {
     i = 1;
     do
@@ -216,83 +221,83 @@
     i = 0
 }
 
-inline tellAccepted(id, version) {
+inline reportAccepted(id, version) {
     d_step { assert(accepted[version] == id) }
 }
 
-inline tellRefused(id, version) {
+inline reportRefused(id, version) {
     d_step { assert(accepted[version] != id); refused[id] = true }
 }
 
-/* Submits change `id` as the version after the one that this daemon has. */
+/* Submits change `id` as the next version after that of this daemon. */
 inline submit(id) {
-    d_step { version = have + 1; mayHaveLanded = false; inKey = false }
+    d_step { version = ownVersion + 1; mayBeWritten = false; ownsKey = false }
     do
-    :: create(id, version, landed);
+    :: create(id, version, written);
         if
-        :: landed -> inKey = true; goto settleBase
-        :: landed -> /* the answer is lost */
-            mayHaveLanded = true
-        :: !landed && mayHaveLanded -> skip
-        :: !landed && !mayHaveLanded -> tellRefused(id, version); goto settled
+        :: written -> ownsKey = true; goto settleBase
+        :: written -> /* the answer is lost */
+            mayBeWritten = true
+        :: !written && mayBeWritten -> skip
+        :: !written && !mayBeWritten -> reportRefused(id, version); goto settled
         fi;
 #ifdef LOST_ANSWER_IS_REFUSED
-        tellRefused(id, version);
+        reportRefused(id, version);
         goto settled
 #endif
         /* Reads the key again. */
         d_step { found = change[version] }
         if
-        :: found == NONE -> skip /* sends the create again */
-        :: else -> inKey = (found == id); goto settleBase
+        :: found == NONE -> skip /* retries the create */
+        :: else -> ownsKey = (found == id); goto settleBase
         fi
-    :: !mayHaveLanded -> /* the request is delayed and may land at any later moment */
+    :: !mayBeWritten -> /* the request is delayed and may take effect at any later time */
         d_step {
             delayedId == NONE ->
             delayedId = id;
             delayedVersion = version;
-            mayHaveLanded = true
+            mayBeWritten = true
         }
         d_step { found = change[version] }
         if
         :: found == NONE -> skip
-        :: else -> inKey = (found == id); goto settleBase
+        :: else -> ownsKey = (found == id); goto settleBase
         fi
     od;
 settleBase:
     skip;
 #ifdef NO_BASE_READ
     if
-    :: inKey -> tellAccepted(id, version); apply(id, version)
-    :: else -> tellRefused(id, version)
+    :: ownsKey -> reportAccepted(id, version); apply(id, version)
+    :: else -> reportRefused(id, version)
     fi;
 #else
     d_step { seenTrimmed = baseTrimmed; seenRevision = baseRevision }
     if
-    :: version > seenTrimmed && inKey ->
-        tellAccepted(id, version);
+    :: version > seenTrimmed && ownsKey ->
+        reportAccepted(id, version);
         apply(id, version)
-    :: version > seenTrimmed && !inKey -> tellRefused(id, version)
-    :: else -> skip /* told neither: unsettled */
+    :: version > seenTrimmed && !ownsKey -> reportRefused(id, version)
+    :: else -> skip /* outcome unknown: reported as neither */
     fi;
 #endif
 settled:
     skip;
     d_step {
-        version = 0; mayHaveLanded = false; inKey = false; found = NONE; landed = false;
+        version = 0; mayBeWritten = false; ownsKey = false; found = NONE; written = false;
         seenTrimmed = 0; seenRevision = 0
     }
 }
 
 #define LOCALS \
-    byte have; byte history[SLOTS]; byte i; byte found; byte seenTrimmed; byte seenSnapshot; \
-    byte seenRevision; byte target; bool landed
+    byte ownVersion; byte history[SLOTS]; byte i; byte found; byte seenTrimmed; byte seenSnapshot; \
+    byte seenRevision; byte target; bool written
 
 proctype Writer(byte me) {
     LOCALS;
-    byte version; bool mayHaveLanded; bool inKey; byte done;
+    byte version; bool mayBeWritten; bool ownsKey; byte done;
     do
-    :: done < SUBMISSIONS(me) && have < VERSIONS ->
+    :: done < SUBMISSIONS(me) && ownVersion < VERSIONS ->
         done++;
         submit((me * 2 + done))
     :: load(false)
@@ -301,23 +306,23 @@
     od
 }
 
-/* Starts at any moment, while changes go on, and follows. */
+/* Starts at any time while changes are submitted, and follows them. */
 proctype Follower() {
     LOCALS;
     do
     :: load(true)
-    :: have == VERSIONS -> break
+    :: ownVersion == VERSIONS -> break
     :: break
     od
 }
 
 proctype Network() {
-    bool landed;
+    bool written;
 end:
     do
     :: delayedId != NONE ->
-        create(delayedId, delayedVersion, landed);
-        d_step { delayedId = NONE; delayedVersion = 0; landed = false }
+        create(delayedId, delayedVersion, written);
+        d_step { delayedId = NONE; delayedVersion = 0; written = false }
     od
 }
 
--- a/model/orders.pml
+++ b/model/orders.pml
@@ -1,17 +1,18 @@
-/* Orders to targets: one issuer by lease, with a fencing number that only grows.
+/* Orders to targets: one issuer by lease, with a monotonically increasing fencing number.
  *
- * Two daemons want to issue. Time moves in ticks of the platform's service; a holder's clock may
- * be behind by DRIFT ticks in a lease. A holder counts its lease from before it asked for it and
- * stops EARLY ticks before its end. It may be paused at any step, also between its last look at
- * the clock and the send. An order is on its way for up to FLIGHT ticks. A successor gets the
- * lease when it has lapsed at the service and then waits for the drift and the flight.
+ * Two daemons compete for the lease. Time advances in ticks of the platform's store; a holder's
+ * clock may lag by DRIFT ticks during a lease. A holder counts its lease from before it sends the
+ * lease request and stops issuing STOP_MARGIN ticks before the end. It may pause at any step, also
+ * between its last clock read and the send. An order is in transit for up to TRANSIT ticks. A
+ * successor gets the lease when it has expired at the store, and then waits for the drift and the
+ * transit time.
  *
- * A target that checks the number never takes an order of an old holder after one of a newer,
- * whatever is paused. One that ignores it takes such an order only if its holder was paused for
- * longer than EARLY between look and send: that is the window which is left. Reconciliation
- * heals what came of it, as each order states the whole wanted state.
+ * A target that checks the fencing number never accepts an order of an old holder after one of a
+ * newer holder, however long a process pauses. A target that ignores the number does so only if
+ * the old holder paused for more than STOP_MARGIN ticks between clock read and send. This window
+ * remains. Reconciliation repairs the effects, as each order states the complete desired state.
  *
- * Each variant lacks one guard, or denies the window, and must fail:
+ * Each variant omits one guard, or asserts that there is no window, and must fail:
  * broken: FENCING_NUMBER_REUSED
  * broken: COUNTS_FROM_THE_ANSWER
  * broken: NO_DRIFT_MARGIN
@@ -20,50 +21,50 @@
  */
 
 #define LEASE 5
-#define EARLY 1
+#define STOP_MARGIN 1
 #define DRIFT 1
-#define FLIGHT 1
+#define TRANSIT 1
 #define MAX_TIME 16
 #define MAX_GRANTS 3
 
 #ifdef NO_DRIFT_MARGIN
-#define WAIT FLIGHT
+#define TAKEOVER_WAIT TRANSIT
 #else
 #ifdef NO_WAIT_FOR_FLIGHT
-#define WAIT DRIFT
+#define TAKEOVER_WAIT DRIFT
 #else
-#define WAIT (DRIFT + FLIGHT)
+#define TAKEOVER_WAIT (DRIFT + TRANSIT)
 #endif
 #endif
 
 byte time;
-byte grants;    /* leases granted; each is a holder newer than all before */
-byte leaseLeft; /* ticks for which the service keeps the present lease */
+byte grants;    /* leases granted so far; the number of the newest holder */
+byte leaseLeft; /* ticks until the lease expires at the store */
 
-byte age[2];    /* of each daemon's lease, by its own clock */
-byte waited[2]; /* ticks since its lease was granted */
-bool slipped[2];
-byte paused[2]; /* ticks since its last look at the clock */
+byte leaseAge[2];       /* ticks of each daemon's lease by its own clock */
+byte waited[2];         /* ticks since the lease was granted, up to TAKEOVER_WAIT */
+bool hasLagged[2];      /* the clock has missed its DRIFT tick in this lease */
+byte sinceClockRead[2]; /* ticks since the last clock read */
 
 typedef Order {
-    bool underWay;
+    bool inTransit;
     byte grant;
-    byte flight;
-    bool overslept
+    byte transitTime;
+    bool sentLate
 }
 
 Order orders[2];
 
-#define HAS_FLOWN(d) (orders[d].underWay && orders[d].flight == FLIGHT)
+#define IS_DUE(d) (orders[d].inTransit && orders[d].transitTime == TRANSIT)
 
-byte checkedNumber; /* largest fencing number that the checking target saw */
-byte checkedGrant;  /* the newest holder whose order each target took */
-byte ignoringGrant;
+byte maxFencingNumber; /* largest fencing number that the checking target has accepted */
+byte checkingGrant;    /* newest holder whose order the checking target accepted */
+byte ignoringGrant;    /* the same for the target that ignores the fencing number */
 
 #ifdef FENCING_NUMBER_REUSED
-#define NUMBER(grant) 1
+#define FENCING_NUMBER(grant) 1
 #else
-#define NUMBER(grant) (grant)
+#define FENCING_NUMBER(grant) (grant)
 #endif
 
 proctype Clock()
@@ -73,21 +74,22 @@
 end:
     do
     :: atomic {
-            /* An order that has flown its time arrives before time goes on. */
-            time < MAX_TIME && !HAS_FLOWN(0) && !HAS_FLOWN(1) ->
+            /* An order that has been in transit for TRANSIT ticks arrives before time advances. */
+            time < MAX_TIME && !IS_DUE(0) && !IS_DUE(1) ->
             time++;
             leaseLeft = (leaseLeft > 0 -> leaseLeft - 1 : 0);
             d = 0;
             do
             :: d < 2 ->
                 if
-                :: age[d] < LEASE -> age[d]++
-                :: age[d] >= LEASE
-                :: age[d] < LEASE && !slipped[d] -> slipped[d] = true
+                :: leaseAge[d] < LEASE -> leaseAge[d]++
+                :: leaseAge[d] >= LEASE
+                :: leaseAge[d] < LEASE && !hasLagged[d] -> hasLagged[d] = true
                 fi;
-                waited[d] = (waited[d] < WAIT -> waited[d] + 1 : waited[d]);
-                paused[d] = (paused[d] <= EARLY -> paused[d] + 1 : paused[d]);
-                orders[d].flight = (orders[d].underWay -> orders[d].flight + 1 : 0);
+                waited[d] = (waited[d] < TAKEOVER_WAIT -> waited[d] + 1 : waited[d]);
+                sinceClockRead[d] =
+                    (sinceClockRead[d] <= STOP_MARGIN -> sinceClockRead[d] + 1 : sinceClockRead[d]);
+                orders[d].transitTime = (orders[d].inTransit -> orders[d].transitTime + 1 : 0);
                 d++
             :: else -> break
             od;
@@ -96,16 +98,16 @@
     od
 }
 
-inline askForLease()
+inline acquireLease()
 {
     do
     :: atomic {
-            age[d] = 0; /* before the request leaves */
-            slipped[d] = false
+            leaseAge[d] = 0; /* before the request is sent */
+            hasLagged[d] = false
         }
         if
         :: atomic {
-                leaseLeft == 0 && grants < MAX_GRANTS -> /* the service's compare-and-swap */
+                leaseLeft == 0 && grants < MAX_GRANTS -> /* the store's compare-and-swap */
                 grants++;
                 grant = grants;
                 leaseLeft = LEASE
@@ -116,8 +118,8 @@
     od;
 #ifdef COUNTS_FROM_THE_ANSWER
     atomic {
-        age[d] = 0;
-        slipped[d] = false
+        leaseAge[d] = 0;
+        hasLagged[d] = false
     }
 #endif
     waited[d] = 0
@@ -129,49 +131,51 @@
 
 end:
     do
-    :: askForLease();
+    :: acquireLease();
 endWait:
-        waited[d] >= WAIT;
+        waited[d] >= TAKEOVER_WAIT;
         do
-        :: atomic { age[d] < LEASE - EARLY && !orders[d].underWay -> paused[d] = 0 }
+        :: atomic {
+                leaseAge[d] < LEASE - STOP_MARGIN && !orders[d].inTransit -> sinceClockRead[d] = 0
+            }
             atomic {
-                orders[d].underWay = true;
+                orders[d].inTransit = true;
                 orders[d].grant = grant;
-                orders[d].flight = 0;
-                orders[d].overslept = paused[d] > EARLY
+                orders[d].transitTime = 0;
+                orders[d].sentLate = sinceClockRead[d] > STOP_MARGIN
             }
-        :: age[d] >= LEASE - EARLY -> break
+        :: leaseAge[d] >= LEASE - STOP_MARGIN -> break
         od
     od
 }
 
-inline takeOrder(o)
+inline deliverOrder(o)
 {
     if
-    :: NUMBER(o.grant) >= checkedNumber ->
-        checkedNumber = NUMBER(o.grant);
-        assert(o.grant >= checkedGrant);
-        checkedGrant = o.grant
+    :: FENCING_NUMBER(o.grant) >= maxFencingNumber ->
+        maxFencingNumber = FENCING_NUMBER(o.grant);
+        assert(o.grant >= checkingGrant);
+        checkingGrant = o.grant
     :: else /* refused: 409 */
     fi;
 #ifdef NO_WINDOW
     assert(o.grant >= ignoringGrant);
 #else
-    assert(o.grant >= ignoringGrant || o.overslept);
+    assert(o.grant >= ignoringGrant || o.sentLate);
 #endif
     ignoringGrant = (o.grant > ignoringGrant -> o.grant : ignoringGrant);
-    o.underWay = false;
+    o.inTransit = false;
     o.grant = 0;
-    o.flight = 0;
-    o.overslept = false
+    o.transitTime = 0;
+    o.sentLate = false
 }
 
 proctype Targets()
 {
 end:
     do
-    :: atomic { orders[0].underWay -> takeOrder(orders[0]) }
-    :: atomic { orders[1].underWay -> takeOrder(orders[1]) }
+    :: atomic { orders[0].inTransit -> deliverOrder(orders[0]) }
+    :: atomic { orders[1].inTransit -> deliverOrder(orders[1]) }
     od
 }
 
