--- a/src/configuration/ConfigurationDocument.cpp
+++ b/src/configuration/ConfigurationDocument.cpp
@@ -16,6 +16,7 @@
 
 using internal::booleanRule;
 using internal::distinctListRule;
+using internal::integerRule;
 using internal::namedObjectsRule;
 using internal::numberRule;
 using internal::objectRule;
@@ -24,14 +25,13 @@
 using internal::Presence;
 using internal::Rule;
 using internal::valueRule;
-using internal::wholeNumberRule;
 
-constexpr int LargestQueue = 100'000;
-constexpr qint64 LongestDeadlineMs = 24 * 3600 * 1000;
-constexpr int MostConcurrentLoads = 1000;
-constexpr qint64 LargestMaxTokens = 10'000'000;
-constexpr double LargestWeight = 1000;
-constexpr int LargestLimit = 1'000'000;
+constexpr int MaxQueueLimit = 100'000;
+constexpr qint64 MaxDeadlineMs = 24 * 3600 * 1000;
+constexpr int MaxConcurrentLoads = 1000;
+constexpr qint64 MaxTokensLimit = 10'000'000;
+constexpr double MaxWorkspaceWeight = 1000;
+constexpr int MaxWorkspaceLimit = 1'000'000;
 
 const QString Services = QStringLiteral("services");
 const QString Models = QStringLiteral("models");
@@ -44,19 +44,19 @@
     "1..128 letters, digits, \".\", \"_\", \"-\", \":\" or \"/\", a letter or digit first";
 const char ModelIdPattern[] = "[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}";
 
-QString text(const char *latin1)
+QString toQString(const char *latin1)
 {
     return QString::fromLatin1(latin1);
 }
 
 Rule idRule()
 {
-    return patternRule(text(IdExpected), text(IdPattern));
+    return patternRule(toQString(IdExpected), toQString(IdPattern));
 }
 
 Rule modelIdRule()
 {
-    return patternRule(text(ModelIdExpected), text(ModelIdPattern));
+    return patternRule(toQString(ModelIdExpected), toQString(ModelIdPattern));
 }
 
 Rule serviceRule()
@@ -67,10 +67,10 @@
         {"policy", Presence::Optional, oneOfRule(internal::namesOf(internal::PolicyNames))},
         {"at_most_once", Presence::Optional, booleanRule()},
         {"preemption_chance", Presence::Optional, numberRule(0, 1, false)},
-        {"queue_limit", Presence::Optional, wholeNumberRule(0, LargestQueue)},
-        {"default_deadline_ms", Presence::Optional, wholeNumberRule(1, LongestDeadlineMs)},
+        {"queue_limit", Presence::Optional, integerRule(0, MaxQueueLimit)},
+        {"default_deadline_ms", Presence::Optional, integerRule(1, MaxDeadlineMs)},
         {"targets_check_fencing", Presence::Optional, booleanRule()},
-        {"concurrent_loads", Presence::Optional, wholeNumberRule(1, MostConcurrentLoads)},
+        {"concurrent_loads", Presence::Optional, integerRule(1, MaxConcurrentLoads)},
     });
 }
 
@@ -78,8 +78,9 @@
 {
     return objectRule({
         {"service", Presence::Required, idRule()},
-        {"version", Presence::Required, patternRule(text(ModelIdExpected), text(ModelIdPattern))},
-        {"max_tokens", Presence::Optional, wholeNumberRule(1, LargestMaxTokens)},
+        {"version", Presence::Required,
+         patternRule(toQString(ModelIdExpected), toQString(ModelIdPattern))},
+        {"max_tokens", Presence::Optional, integerRule(1, MaxTokensLimit)},
     });
 }
 
@@ -88,13 +89,13 @@
     const Rule hash =
         patternRule(QStringLiteral("64 lower-case hex digits"), QStringLiteral("[0-9a-f]{64}"));
     const Rule limits = objectRule({
-        {"concurrent_requests", Presence::Optional, wholeNumberRule(0, LargestLimit)},
-        {"requests_per_second", Presence::Optional, numberRule(0, LargestLimit, true)},
+        {"concurrent_requests", Presence::Optional, integerRule(0, MaxWorkspaceLimit)},
+        {"requests_per_second", Presence::Optional, numberRule(0, MaxWorkspaceLimit, true)},
     });
     return objectRule({
         {"key_sha256", Presence::Required, distinctListRule(hash)},
         {"services", Presence::Required, distinctListRule(idRule())},
-        {"weight", Presence::Optional, numberRule(0, LargestWeight, false)},
+        {"weight", Presence::Optional, numberRule(0, MaxWorkspaceWeight, false)},
         {"limits", Presence::Optional, limits},
     });
 }
@@ -115,15 +116,15 @@
 
 const Rule &documentRule()
 {
-    const auto named = [](const Rule &rule) {
-        return namedObjectsRule(text(IdExpected), text(IdPattern), rule);
+    const auto objectsById = [](const Rule &rule) {
+        return namedObjectsRule(toQString(IdExpected), toQString(IdPattern), rule);
     };
     static const Rule rule = objectRule({
-        {"services", Presence::Required, named(serviceRule())},
+        {"services", Presence::Required, objectsById(serviceRule())},
         {"models", Presence::Optional,
-         namedObjectsRule(text(ModelIdExpected), text(ModelIdPattern), modelRule())},
-        {"workspaces", Presence::Optional, named(workspaceRule())},
-        {"targets", Presence::Optional, named(targetRule())},
+         namedObjectsRule(toQString(ModelIdExpected), toQString(ModelIdPattern), modelRule())},
+        {"workspaces", Presence::Optional, objectsById(workspaceRule())},
+        {"targets", Presence::Optional, objectsById(targetRule())},
     });
     return rule;
 }
@@ -131,10 +132,12 @@
 ServiceConfiguration readService(const QJsonObject &json)
 {
     ServiceConfiguration service;
-    service.kind = internal::valueNamed(internal::ServiceKindNames, json["kind"], service.kind);
+    service.kind =
+        internal::enumeratorNamed(internal::ServiceKindNames, json["kind"], service.kind);
     service.objective =
-        internal::valueNamed(internal::ObjectiveNames, json["objective"], service.objective);
-    service.policy = internal::valueNamed(internal::PolicyNames, json["policy"], service.policy);
+        internal::enumeratorNamed(internal::ObjectiveNames, json["objective"], service.objective);
+    service.policy =
+        internal::enumeratorNamed(internal::PolicyNames, json["policy"], service.policy);
     service.atMostOnce = json["at_most_once"].toBool(service.atMostOnce);
     service.preemptionChance = json["preemption_chance"].toDouble(service.preemptionChance);
     service.queueLimit = json["queue_limit"].toInt(service.queueLimit);
@@ -182,33 +185,36 @@
     return target;
 }
 
-/// Reads those of @p names that are in @p parts into @p into, and removes the others there.
-template <typename Id, typename Part>
-void readParts(const QJsonObject &parts, const QStringList &names,
-               Part (*read)(const QJsonObject &), QMap<Id, Part> &into)
+/// Reads the entries @p names of @p section into @p entries. Removes from @p entries those of
+/// @p names that @p section does not contain.
+template <typename Id, typename Entry>
+void readSection(const QJsonObject &section, const QStringList &names,
+                 Entry (*read)(const QJsonObject &), QMap<Id, Entry> &entries)
 {
     for (const QString &name : names) {
-        const auto found = parts.constFind(name);
-        if (found == parts.constEnd())
-            into.remove(Id(name));
+        const auto found = section.constFind(name);
+        if (found == section.constEnd())
+            entries.remove(Id(name));
         else
-            into.insert(Id(name), read(found->toObject()));
+            entries.insert(Id(name), read(found->toObject()));
     }
 }
 
-/// For each part of a document, the names in it.
-using PartNames = std::function<QStringList(const QString &part)>;
+/// Returns the names of the entries to read for a section of a document.
+using SectionNames = std::function<QStringList(const QString &section)>;
 
-void readInto(Configuration &configuration, const QJsonObject &document, const PartNames &names)
+void readInto(Configuration &configuration, const QJsonObject &document, const SectionNames &names)
 {
-    const auto partOf = [&](const QString &part) { return document.value(part).toObject(); };
-    readParts(partOf(Services), names(Services), readService, configuration.services);
-    readParts(partOf(Models), names(Models), readModel, configuration.models);
-    readParts(partOf(Workspaces), names(Workspaces), readWorkspace, configuration.workspaces);
-    readParts(partOf(Targets), names(Targets), readTarget, configuration.targets);
+    const auto sectionOf = [&](const QString &section) {
+        return document.value(section).toObject();
+    };
+    readSection(sectionOf(Services), names(Services), readService, configuration.services);
+    readSection(sectionOf(Models), names(Models), readModel, configuration.models);
+    readSection(sectionOf(Workspaces), names(Workspaces), readWorkspace, configuration.workspaces);
+    readSection(sectionOf(Targets), names(Targets), readTarget, configuration.targets);
 }
 
-Error invalid(const ConfigurationFault &fault)
+Error invalidConfiguration(const ConfigurationFault &fault)
 {
     Error error;
     error.kind = ErrorKind::InvalidConfiguration;
@@ -217,25 +223,25 @@
     return error;
 }
 
-/// The entries of @p document that @p patch touches, as a document of their own; nothing if
-/// the patch replaces a whole part.
-std::optional<QJsonObject> touchedDocument(const QJsonObject &document, const QJsonObject &patch)
+/// A document with only those entries of @p document that @p patch changes; nullopt if the patch
+/// replaces or removes a whole section.
+std::optional<QJsonObject> affectedEntries(const QJsonObject &document, const QJsonObject &patch)
 {
-    QJsonObject touched{{Services, QJsonObject()}};
-    for (auto part = patch.begin(); part != patch.end(); ++part) {
-        const QJsonValue present = document.value(part.key());
-        if (!part.value().isObject() || !present.isObject())
+    QJsonObject affected{{Services, QJsonObject()}};
+    for (auto section = patch.begin(); section != patch.end(); ++section) {
+        const QJsonValue current = document.value(section.key());
+        if (!section.value().isObject() || !current.isObject())
             return std::nullopt;
-        const QJsonObject entries = present.toObject();
+        const QJsonObject entries = current.toObject();
         QJsonObject found;
-        const QStringList names = part.value().toObject().keys();
+        const QStringList names = section.value().toObject().keys();
         for (const QString &name : names) {
             if (entries.contains(name))
                 found.insert(name, entries.value(name));
         }
-        touched.insert(part.key(), found);
+        affected.insert(section.key(), found);
     }
-    return touched;
+    return affected;
 }
 
 } // namespace
@@ -253,11 +259,11 @@
 {
     const QList<ConfigurationFault> faults = validateDocument(document);
     if (!faults.isEmpty())
-        return invalid(faults.first());
+        return invalidConfiguration(faults.first());
     Configuration configuration;
     configuration.version = version;
     readInto(configuration, document,
-             [&](const QString &part) { return document.value(part).toObject().keys(); });
+             [&](const QString &section) { return document.value(section).toObject().keys(); });
     return configuration;
 }
 
@@ -265,17 +271,17 @@
                                               const QJsonObject &document, const QJsonObject &patch,
                                               ConfigurationVersion version)
 {
-    const std::optional<QJsonObject> touched = touchedDocument(document, patch);
-    if (!touched)
+    const std::optional<QJsonObject> affected = affectedEntries(document, patch);
+    if (!affected)
         return configurationFromDocument(document, version);
     QList<ConfigurationFault> faults;
-    documentRule()(QString(), *touched, faults);
+    documentRule()(QString(), *affected, faults);
     if (!faults.isEmpty())
-        return invalid(faults.first());
+        return invalidConfiguration(faults.first());
     Configuration configuration = before;
     configuration.version = version;
     readInto(configuration, document,
-             [&](const QString &part) { return patch.value(part).toObject().keys(); });
+             [&](const QString &section) { return patch.value(section).toObject().keys(); });
     return configuration;
 }
 
--- a/src/configuration/DocumentNames.h
+++ b/src/configuration/DocumentNames.h
@@ -1,4 +1,3 @@
-// Defines the names that enumerators have in the configuration document.
 #pragma once
 
 #include "configuration/Configuration.h"
@@ -10,6 +9,7 @@
 
 namespace cranberry::internal {
 
+/// Name of an enumerator in the configuration document.
 template <typename Enum>
 struct EnumeratorName {
     const char *name;
@@ -33,7 +33,7 @@
     {"forecast", PolicyName::Forecast},
 }};
 
-/// All names of @p table, in its order. Thread-safe.
+/// All names in @p table, in the order of the table. Thread-safe.
 template <typename Table>
 QStringList namesOf(const Table &table)
 {
@@ -43,9 +43,9 @@
     return names;
 }
 
-/// The enumerator that @p json names, or @p fallback if it names none. Thread-safe.
+/// The enumerator with the name @p json, or @p fallback if there is none. Thread-safe.
 template <typename Table, typename Enum>
-Enum valueNamed(const Table &table, const QJsonValue &json, Enum fallback)
+Enum enumeratorNamed(const Table &table, const QJsonValue &json, Enum fallback)
 {
     for (const auto &row : table) {
         if (json.toString() == QLatin1String(row.name))
--- a/src/configuration/DocumentReferences.cpp
+++ b/src/configuration/DocumentReferences.cpp
@@ -8,52 +8,55 @@
 
 namespace {
 
-struct Parts {
+struct Sections {
     QJsonObject services;
     QJsonObject models;
     QJsonObject workspaces;
     QJsonObject targets;
 };
 
-void checkService(const Parts &parts, const QString &path, const QJsonValue &name, Faults &faults)
+void checkServiceExists(const Sections &sections, const QString &path, const QJsonValue &name,
+                        Faults &faults)
 {
-    if (name.isString() && !parts.services.contains(name.toString()))
-        faults.append(unexpected(path, QStringLiteral("the name of a service"), name));
+    if (name.isString() && !sections.services.contains(name.toString()))
+        faults.append(unexpectedValue(path, QStringLiteral("the name of a service"), name));
 }
 
-bool isPlain(const Parts &parts, const QJsonValue &service)
+bool isPlainService(const Sections &sections, const QJsonValue &service)
 {
-    const QJsonObject found = parts.services.value(service.toString()).toObject();
-    return found.value(QLatin1String("kind")) == QLatin1String("plain");
+    const QJsonObject serviceObject = sections.services.value(service.toString()).toObject();
+    return serviceObject.value(QLatin1String("kind")) == QLatin1String("plain");
 }
 
-void checkModels(const Parts &parts, Faults &faults)
+void checkModels(const Sections &sections, Faults &faults)
 {
-    for (auto it = parts.models.begin(); it != parts.models.end(); ++it) {
+    for (auto it = sections.models.begin(); it != sections.models.end(); ++it) {
         const QString path = memberPath(QStringLiteral("models"), it.key()) + ".service";
         const QJsonValue service = it.value().toObject().value(QLatin1String("service"));
-        checkService(parts, path, service, faults);
-        if (isPlain(parts, service))
-            faults.append(unexpected(path, QStringLiteral("a service of kind \"model\""), service));
+        checkServiceExists(sections, path, service, faults);
+        if (isPlainService(sections, service))
+            faults.append(
+                unexpectedValue(path, QStringLiteral("a service of kind \"model\""), service));
     }
 }
 
-void checkWorkspaces(const Parts &parts, Faults &faults)
+void checkWorkspaces(const Sections &sections, Faults &faults)
 {
     QHash<QString, QString> ownerOfHash;
-    for (auto it = parts.workspaces.begin(); it != parts.workspaces.end(); ++it) {
+    for (auto it = sections.workspaces.begin(); it != sections.workspaces.end(); ++it) {
         const QString path = memberPath(QStringLiteral("workspaces"), it.key());
         const QJsonArray services = it.value().toObject()[QLatin1String("services")].toArray();
         for (qsizetype i = 0; i < services.size(); ++i)
-            checkService(parts, elementPath(path + ".services", i), services.at(i), faults);
+            checkServiceExists(sections, elementPath(path + ".services", i), services.at(i),
+                               faults);
         const QJsonArray hashes = it.value().toObject()[QLatin1String("key_sha256")].toArray();
         for (qsizetype i = 0; i < hashes.size(); ++i) {
             const QString hash = hashes.at(i).toString();
             const QString owner = ownerOfHash.value(hash, it.key());
             if (owner != it.key()) {
-                faults.append(unexpected(
+                faults.append(unexpectedValue(
                     elementPath(path + ".key_sha256", i),
-                    QStringLiteral("a key of one workspace only, \"%1\" has it").arg(owner),
+                    QStringLiteral("a key hash not used by workspace \"%1\"").arg(owner),
                     hashes.at(i)));
             }
             ownerOfHash.insert(hash, owner);
@@ -61,46 +64,50 @@
     }
 }
 
-void checkTargetModels(const Parts &parts, const QString &path, const QJsonObject &target,
+void checkTargetModels(const Sections &sections, const QString &path, const QJsonObject &target,
                        Faults &faults)
 {
     const QJsonValue service = target.value(QLatin1String("service"));
-    const QJsonValue stated = target.value(QLatin1String("models"));
-    if (!parts.services.contains(service.toString()) || !(stated.isArray() || stated.isUndefined()))
+    const QJsonValue modelsValue = target.value(QLatin1String("models"));
+    if (!sections.services.contains(service.toString())
+        || !(modelsValue.isArray() || modelsValue.isUndefined()))
         return;
-    const QJsonArray models = stated.toArray();
-    if (isPlain(parts, service) && !models.isEmpty())
-        faults.append(unexpected(path, QStringLiteral("no models on a plain service"), stated));
-    if (!isPlain(parts, service) && models.isEmpty())
-        faults.append(unexpected(path, QStringLiteral("at least one model"), stated));
+    const QJsonArray models = modelsValue.toArray();
+    if (isPlainService(sections, service) && !models.isEmpty())
+        faults.append(
+            unexpectedValue(path, QStringLiteral("no models on a plain service"), modelsValue));
+    if (!isPlainService(sections, service) && models.isEmpty())
+        faults.append(unexpectedValue(path, QStringLiteral("at least one model"), modelsValue));
     for (qsizetype i = 0; i < models.size(); ++i) {
-        const QJsonObject model = parts.models.value(models.at(i).toString()).toObject();
+        const QJsonObject model = sections.models.value(models.at(i).toString()).toObject();
         if (models.at(i).isString() && model.value(QLatin1String("service")) != service)
-            faults.append(unexpected(elementPath(path, i),
-                                     QStringLiteral("a model of the target's service"),
-                                     models.at(i)));
+            faults.append(unexpectedValue(elementPath(path, i),
+                                          QStringLiteral("a model of the target's service"),
+                                          models.at(i)));
     }
 }
 
-void checkTargets(const Parts &parts, Faults &faults)
+void checkTargets(const Sections &sections, Faults &faults)
 {
-    // Two targets at one address would each be planned as if they had the engine's memory
-    // for themselves; the engine would run out and preempt.
+    // Placement would plan each of two targets with one address as if it had the whole memory of
+    // the engine. The engine would run out of memory and preempt requests.
     QHash<QString, QString> targetAtUrl;
-    for (auto it = parts.targets.begin(); it != parts.targets.end(); ++it) {
+    for (auto it = sections.targets.begin(); it != sections.targets.end(); ++it) {
         const QString path = memberPath(QStringLiteral("targets"), it.key());
         const QJsonObject target = it.value().toObject();
-        checkService(parts, path + ".service", target.value(QLatin1String("service")), faults);
-        checkTargetModels(parts, path + ".models", target, faults);
+        checkServiceExists(sections, path + ".service", target.value(QLatin1String("service")),
+                           faults);
+        checkTargetModels(sections, path + ".models", target, faults);
         const QJsonValue url = target.value(QLatin1String("url"));
-        const QString first = targetAtUrl.value(url.toString(), it.key());
-        if (url.isString() && first != it.key() && !isPlain(parts, target["service"])) {
-            faults.append(unexpected(
+        const QString firstTarget = targetAtUrl.value(url.toString(), it.key());
+        if (url.isString() && firstTarget != it.key()
+            && !isPlainService(sections, target["service"])) {
+            faults.append(unexpectedValue(
                 path + ".url",
-                QStringLiteral("an address of one target only, \"%1\" has it").arg(first), url));
+                QStringLiteral("an address not used by target \"%1\"").arg(firstTarget), url));
         }
-        if (!isPlain(parts, target["service"]))
-            targetAtUrl.insert(url.toString(), first);
+        if (!isPlainService(sections, target["service"]))
+            targetAtUrl.insert(url.toString(), firstTarget);
     }
 }
 
@@ -108,13 +115,13 @@
 
 void checkReferences(const QJsonObject &document, Faults &faults)
 {
-    const Parts parts{document.value(QLatin1String("services")).toObject(),
-                      document.value(QLatin1String("models")).toObject(),
-                      document.value(QLatin1String("workspaces")).toObject(),
-                      document.value(QLatin1String("targets")).toObject()};
-    checkModels(parts, faults);
-    checkWorkspaces(parts, faults);
-    checkTargets(parts, faults);
+    const Sections sections{document.value(QLatin1String("services")).toObject(),
+                            document.value(QLatin1String("models")).toObject(),
+                            document.value(QLatin1String("workspaces")).toObject(),
+                            document.value(QLatin1String("targets")).toObject()};
+    checkModels(sections, faults);
+    checkWorkspaces(sections, faults);
+    checkTargets(sections, faults);
 }
 
 } // namespace cranberry::internal
--- a/src/configuration/DocumentReferences.h
+++ b/src/configuration/DocumentReferences.h
@@ -1,4 +1,3 @@
-// Defines the checks of what one part of a configuration document says of another.
 #pragma once
 
 #include "configuration/DocumentRules.h"
@@ -7,8 +6,10 @@
 
 namespace cranberry::internal {
 
-/// Appends every name that leads nowhere, key hashes in two workspaces, and two targets at
-/// one address. Values of a wrong type are passed over: the rules report them. Thread-safe.
+/// Checks the constraints between sections and entries of a configuration document. Appends a
+/// fault for each reference to a missing or unsuitable entry, each key hash used by two workspaces,
+/// and each address used by two targets of model services. Ignores values of the wrong type, which
+/// the document rules report. Thread-safe.
 void checkReferences(const QJsonObject &document, Faults &faults);
 
 } // namespace cranberry::internal
--- a/src/configuration/DocumentRules.cpp
+++ b/src/configuration/DocumentRules.cpp
@@ -12,21 +12,21 @@
 
 namespace {
 
-constexpr qsizetype LongestShownValue = 80;
+constexpr qsizetype MaxShownValueLength = 80;
 
-QString shown(const QJsonValue &value)
+QString formatValue(const QJsonValue &value)
 {
     if (value.isUndefined())
         return QStringLiteral("nothing");
-    const QByteArray inList =
+    const QByteArray arrayJson =
         QJsonDocument(QJsonArray{value}).toJson(QJsonDocument::Compact).trimmed();
-    QString text = QString::fromUtf8(inList.mid(1, inList.size() - 2));
-    if (text.size() <= LongestShownValue)
+    QString text = QString::fromUtf8(arrayJson.mid(1, arrayJson.size() - 2));
+    if (text.size() <= MaxShownValueLength)
         return text;
-    return text.left(LongestShownValue) + QLatin1String("...");
+    return text.left(MaxShownValueLength) + QLatin1String("...");
 }
 
-QString listed(const QStringList &names)
+QString quoteNames(const QStringList &names)
 {
     QStringList quoted;
     for (const QString &name : names)
@@ -47,16 +47,17 @@
     for (auto it = object.begin(); it != object.end(); ++it) {
         if (!allowed.contains(it.key())) {
             faults.append({memberPath(path, it.key()),
-                           QLatin1String("unknown member, allowed are ") + listed(allowed)});
+                           QLatin1String("unknown member, allowed are ") + quoteNames(allowed)});
         }
     }
 }
 
 } // namespace
 
-ConfigurationFault unexpected(const QString &path, const QString &expected, const QJsonValue &value)
+ConfigurationFault unexpectedValue(const QString &path, const QString &expected,
+                                   const QJsonValue &value)
 {
-    return {path, QStringLiteral("expected %1, got %2").arg(expected, shown(value))};
+    return {path, QStringLiteral("expected %1, got %2").arg(expected, formatValue(value))};
 }
 
 QString memberPath(const QString &path, const QString &name)
@@ -74,39 +75,39 @@
     return [expected, accepts = std::move(accepts)](const QString &path, const QJsonValue &value,
                                                     Faults &faults) {
         if (!accepts(value))
-            faults.append(unexpected(path, expected, value));
+            faults.append(unexpectedValue(path, expected, value));
     };
 }
 
 Rule patternRule(const QString &expected, const QString &pattern)
 {
-    const QRegularExpression whole(QRegularExpression::anchoredPattern(pattern));
-    return valueRule(expected, [whole](const QJsonValue &value) {
-        return value.isString() && whole.match(value.toString()).hasMatch();
+    const QRegularExpression regex(QRegularExpression::anchoredPattern(pattern));
+    return valueRule(expected, [regex](const QJsonValue &value) {
+        return value.isString() && regex.match(value.toString()).hasMatch();
     });
 }
 
-Rule wholeNumberRule(qint64 least, qint64 most)
+Rule integerRule(qint64 minimum, qint64 maximum)
 {
-    const QString expected = QStringLiteral("a whole number %1..%2").arg(least).arg(most);
-    return valueRule(expected, [least, most](const QJsonValue &value) {
+    const QString expected = QStringLiteral("a whole number %1..%2").arg(minimum).arg(maximum);
+    return valueRule(expected, [minimum, maximum](const QJsonValue &value) {
         const double number = value.toDouble();
-        return value.isDouble() && number == std::floor(number) && number >= double(least)
-            && number <= double(most);
+        return value.isDouble() && number == std::floor(number) && number >= double(minimum)
+            && number <= double(maximum);
     });
 }
 
-Rule numberRule(double least, double most, bool leastAllowed)
+Rule numberRule(double minimum, double maximum, bool isMinimumAllowed)
 {
     const QString expected =
         QStringLiteral("a number %1 %2 and at most %3")
-            .arg(leastAllowed ? QLatin1String("at least") : QLatin1String("over"))
-            .arg(least)
-            .arg(most);
-    return valueRule(expected, [least, most, leastAllowed](const QJsonValue &value) {
+            .arg(isMinimumAllowed ? QLatin1String("at least") : QLatin1String("over"))
+            .arg(minimum)
+            .arg(maximum);
+    return valueRule(expected, [minimum, maximum, isMinimumAllowed](const QJsonValue &value) {
         const double number = value.toDouble();
-        const bool overLeast = leastAllowed ? number >= least : number > least;
-        return value.isDouble() && overLeast && number <= most;
+        const bool isAboveMinimum = isMinimumAllowed ? number >= minimum : number > minimum;
+        return value.isDouble() && isAboveMinimum && number <= maximum;
     });
 }
 
@@ -118,7 +119,7 @@
 
 Rule oneOfRule(const QStringList &allowed)
 {
-    return valueRule(QLatin1String("one of ") + listed(allowed),
+    return valueRule(QLatin1String("one of ") + quoteNames(allowed),
                      [allowed](const QJsonValue &value) {
                          return value.isString() && allowed.contains(value.toString());
                      });
@@ -130,24 +131,24 @@
         if (value.isObject())
             checkMembers(members, path, value.toObject(), faults);
         else
-            faults.append(unexpected(path, QStringLiteral("an object"), value));
+            faults.append(unexpectedValue(path, QStringLiteral("an object"), value));
     };
 }
 
 Rule namedObjectsRule(const QString &expectedId, const QString &idPattern, const Rule &rule)
 {
-    const QRegularExpression whole(QRegularExpression::anchoredPattern(idPattern));
-    return [expectedId, whole, rule](const QString &path, const QJsonValue &value, Faults &faults) {
+    const QRegularExpression regex(QRegularExpression::anchoredPattern(idPattern));
+    return [expectedId, regex, rule](const QString &path, const QJsonValue &value, Faults &faults) {
         if (!value.isObject()) {
-            faults.append(unexpected(path, QStringLiteral("an object"), value));
+            faults.append(unexpectedValue(path, QStringLiteral("an object"), value));
             return;
         }
         const QJsonObject object = value.toObject();
         for (auto it = object.begin(); it != object.end(); ++it) {
-            const QString inside = memberPath(path, it.key());
-            if (!whole.match(it.key()).hasMatch())
-                faults.append(unexpected(inside, expectedId, it.key()));
-            rule(inside, it.value(), faults);
+            const QString entryPath = memberPath(path, it.key());
+            if (!regex.match(it.key()).hasMatch())
+                faults.append(unexpectedValue(entryPath, expectedId, it.key()));
+            rule(entryPath, it.value(), faults);
         }
     };
 }
@@ -156,18 +157,18 @@
 {
     return [rule](const QString &path, const QJsonValue &value, Faults &faults) {
         if (!value.isArray()) {
-            faults.append(unexpected(path, QStringLiteral("a list"), value));
+            faults.append(unexpectedValue(path, QStringLiteral("a list"), value));
             return;
         }
         const QJsonArray list = value.toArray();
-        QSet<QString> seen;
+        QSet<QString> seenValues;
         for (qsizetype i = 0; i < list.size(); ++i) {
             rule(elementPath(path, i), list.at(i), faults);
             const QString text = list.at(i).toString();
-            if (list.at(i).isString() && seen.contains(text))
-                faults.append(
-                    unexpected(elementPath(path, i), QStringLiteral("no value twice"), list.at(i)));
-            seen.insert(text);
+            if (list.at(i).isString() && seenValues.contains(text))
+                faults.append(unexpectedValue(elementPath(path, i),
+                                              QStringLiteral("distinct values"), list.at(i)));
+            seenValues.insert(text);
         }
     };
 }
--- a/src/configuration/DocumentRules.h
+++ b/src/configuration/DocumentRules.h
@@ -1,4 +1,3 @@
-// Defines the rules from which the shape of a configuration document is put together.
 #pragma once
 
 #include "configuration/ConfigurationFault.h"
@@ -13,7 +12,8 @@
 
 using Faults = QList<ConfigurationFault>;
 
-/// Appends what is wrong with the value at a path. Thread-safe.
+/// Checks the value at a path and appends its faults. Rules are combined to describe the schema of
+/// the configuration document. Thread-safe.
 using Rule = std::function<void(const QString &path, const QJsonValue &value, Faults &faults)>;
 
 enum class Presence {
@@ -21,16 +21,16 @@
     Optional,
 };
 
-/// One member that an object may have.
+/// A member that an object may or must have, and the rule for its value.
 struct MemberRule {
     QString name;
     Presence presence;
     Rule rule;
 };
 
-/// "expected @p expected, got ..." with the start of @p value as JSON. Thread-safe.
-ConfigurationFault unexpected(const QString &path, const QString &expected,
-                              const QJsonValue &value);
+/// The fault "expected @p expected, got ..." with the beginning of @p value as JSON. Thread-safe.
+ConfigurationFault unexpectedValue(const QString &path, const QString &expected,
+                                   const QJsonValue &value);
 
 /// The path of member @p name of the object at @p path. Thread-safe.
 QString memberPath(const QString &path, const QString &name);
@@ -38,22 +38,25 @@
 /// The path of element @p index of the list at @p path. Thread-safe.
 QString elementPath(const QString &path, qsizetype index);
 
-// Each function below makes a rule; all are thread-safe.
+// The functions below create rules. All are thread-safe.
 
-/// Any value that @p accepts holds for; @p expected says in words what that is.
+/// A value for which @p accepts returns true; @p expected describes such values in messages.
 Rule valueRule(const QString &expected, std::function<bool(const QJsonValue &)> accepts);
-/// A string that matches @p pattern as a whole.
+/// A string that matches @p pattern from start to end.
 Rule patternRule(const QString &expected, const QString &pattern);
-Rule wholeNumberRule(qint64 least, qint64 most);
-/// A number from @p least to @p most; @p least itself is allowed only if @p leastAllowed.
-Rule numberRule(double least, double most, bool leastAllowed);
+/// An integer from @p minimum to @p maximum.
+Rule integerRule(qint64 minimum, qint64 maximum);
+/// A number from @p minimum to @p maximum; @p minimum itself is allowed only if
+/// @p isMinimumAllowed.
+Rule numberRule(double minimum, double maximum, bool isMinimumAllowed);
 Rule booleanRule();
 Rule oneOfRule(const QStringList &allowed);
-/// An object with just the members of @p members.
+/// An object with no members other than @p members.
 Rule objectRule(const QList<MemberRule> &members);
-/// An object whose members are named by ids of the shape @p idPattern, each after @p rule.
+/// An object whose member names match @p idPattern and whose member values follow @p rule;
+/// @p expectedId describes the names in messages.
 Rule namedObjectsRule(const QString &expectedId, const QString &idPattern, const Rule &rule);
-/// A list without repetitions whose elements follow @p rule.
+/// A list whose elements follow @p rule and which contains no string twice.
 Rule distinctListRule(const Rule &rule);
 
 } // namespace cranberry::internal
--- a/src/configuration/MergePatch.cpp
+++ b/src/configuration/MergePatch.cpp
@@ -28,7 +28,8 @@
         const QJsonValue before = from.value(it.key());
         if (before == it.value())
             continue;
-        // Against anything but an object a patch starts from an empty one, as the receiver does.
+        // If the old value is not an object, mergePatch() applies the patch to an empty object, so
+        // the patch is computed against one as well.
         if (it.value().isObject())
             patch.insert(it.key(), mergePatchBetween(before.toObject(), it.value().toObject()));
         else
--- a/test/error/ConfigurationFaults.cpp
+++ b/test/error/ConfigurationFaults.cpp
@@ -67,7 +67,7 @@
     {R"({"workspaces": {"alerts": {"services": ["bulletins", "indx"]}}})",
      "workspaces.alerts.services[1]: expected the name of a service, got \"indx\""},
     {R"({"workspaces": {"alerts": {"services": ["bulletins", "bulletins"]}}})",
-     "workspaces.alerts.services[1]: expected no value twice, got \"bulletins\""},
+     "workspaces.alerts.services[1]: expected distinct values, got \"bulletins\""},
     {R"({"workspaces": {"alerts": {"weight": 0}}})",
      "workspaces.alerts.weight: expected a number over 0 and at most 1000, got 0"},
     {R"({"workspaces": {"alerts": {"limits": {"rps": 1}}}})",
@@ -75,7 +75,7 @@
      "\"concurrent_requests\", \"requests_per_second\""},
     {R"({"workspaces": {"zz": {"services": [], "key_sha256":
         ["0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"]}}})",
-     "workspaces.zz.key_sha256[0]: expected a key of one workspace only, \"alerts\" has it, got "
+     "workspaces.zz.key_sha256[0]: expected a key hash not used by workspace \"alerts\", got "
      "\"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef\""},
     {R"({"targets": {"t1": {"url": "ftp://x"}}})",
      "targets.t1.url: expected \"http://ADDRESS:PORT\", got \"ftp://x\""},
@@ -90,7 +90,7 @@
      "targets.t1.models: expected at least one model, got nothing"},
     {R"({"targets": {"t2": {"service": "bulletins", "url": "http://127.0.0.1:9001",
                             "data_centre": "dc1", "models": ["pollen"]}}})",
-     "targets.t2.url: expected an address of one target only, \"t1\" has it, "
+     "targets.t2.url: expected an address not used by target \"t1\", "
      "got \"http://127.0.0.1:9001\""},
     {R"({"targets": [1]})", "targets: expected an object, got [1]"},
     {R"({"targets": {"t1": 3}})", "targets.t1: expected an object, got 3"},
