--- a/src/claims/ClaimGathering.h
+++ b/src/claims/ClaimGathering.h
@@ -58,7 +58,7 @@
     std::map<AttemptId, Asked> m_asked;
     /// By shard, how long its gatherer last said that it holds claims.
     std::array<Milliseconds, ClaimShardCount> m_windows{};
-    internal::LifeGuard m_life;
+    internal::CallbackGuard m_life;
 };
 
 } // namespace cranberry
--- a/src/claims/ClaimShard.cpp
+++ b/src/claims/ClaimShard.cpp
@@ -198,7 +198,7 @@
     if (stands) {
         m_sealRevision = result.revision;
         writeHead(update);
-    } else if (result.outcome == SwapOutcome::NotDone) {
+    } else if (result.outcome == SwapOutcome::NotWritten) {
         failRound();
     } else {
         stepLater();
@@ -215,7 +215,7 @@
 
 void ClaimShard::headWritten(const SegmentUpdate &update, const SwapResult &result)
 {
-    if (result.outcome == SwapOutcome::NotDone) {
+    if (result.outcome == SwapOutcome::NotWritten) {
         failRound();
         return;
     }
--- a/src/claims/ClaimShard.h
+++ b/src/claims/ClaimShard.h
@@ -102,7 +102,7 @@
     std::unique_ptr<TimerSubscription> m_windowEnd;
     std::unique_ptr<TimerSubscription> m_pause;
     ClaimCounts m_counts;
-    internal::LifeGuard m_life;
+    internal::CallbackGuard m_life;
 };
 
 } // namespace cranberry
--- a/src/configuration/ChangeSubmission.cpp
+++ b/src/configuration/ChangeSubmission.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr Milliseconds SettleTime{8000};
-constexpr Milliseconds FirstDelay{50};
-constexpr Milliseconds LongestDelay{1000};
+constexpr Milliseconds SubmissionTimeout{8000};
+constexpr Milliseconds MinRetryDelay{50};
+constexpr Milliseconds MaxRetryDelay{1000};
 
 } // namespace
 
@@ -24,7 +24,7 @@
     , m_timers(timers)
     , m_change(std::move(change))
     , m_callback(std::move(callback))
-    , m_delay(FirstDelay)
+    , m_retryDelay(MinRetryDelay)
 {
 }
 
@@ -32,7 +32,7 @@
 
 void ChangeSubmission::start()
 {
-    m_deadline = m_timers.now() + SettleTime;
+    m_deadline = m_timers.now() + SubmissionTimeout;
     create();
 }
 
@@ -41,26 +41,26 @@
     const auto created = [this](const SwapResult &result) {
         switch (result.outcome) {
         case SwapOutcome::Swapped:
-            m_isInKey = true;
+            m_ownsKey = true;
             m_keyRevision = result.revision;
             readBase();
             return;
         case SwapOutcome::Conflict:
-            // Only after a lost answer can the key in the way be this change itself.
-            if (m_mayHaveLanded)
+            // The existing key can hold this change only if an earlier create was not answered.
+            if (m_hasUnansweredCreate)
                 readKey();
             else
-                finish(SubmissionEnd::Lost);
+                finish(CommitOutcome::Conflict);
             return;
         case SwapOutcome::Unknown:
-            m_mayHaveLanded = true;
-            again(&ChangeSubmission::readKey);
+            m_hasUnansweredCreate = true;
+            retryLater(&ChangeSubmission::readKey);
             return;
-        case SwapOutcome::NotDone:
-            if (m_mayHaveLanded)
-                again(&ChangeSubmission::readKey);
+        case SwapOutcome::NotWritten:
+            if (m_hasUnansweredCreate)
+                retryLater(&ChangeSubmission::readKey);
             else
-                finish(SubmissionEnd::NotDone);
+                finish(CommitOutcome::NotWritten);
             return;
         }
     };
@@ -73,22 +73,22 @@
     m_platform.read(changeKey(m_change.version),
                     m_guard.wrap([this](const Result<KeyValue> &entry) {
                         if (entry.has_value())
-                            keyRead(entry.value());
+                            onKeyRead(entry.value());
                         else
-                            again(&ChangeSubmission::readKey);
+                            retryLater(&ChangeSubmission::readKey);
                     }));
 }
 
-void ChangeSubmission::keyRead(const KeyValue &entry)
+void ChangeSubmission::onKeyRead(const KeyValue &entry)
 {
     if (entry.revision == Revision()) {
-        // The lost create did not land, or still may. Sending it again is harmless: it is the
-        // same change under the same id, and only one of the two can create the key.
-        again(&ChangeSubmission::create);
+        // The unanswered create has not taken effect, but still may. Sending it again is safe:
+        // it carries the same change with the same id, and only one of the two can create the key.
+        retryLater(&ChangeSubmission::create);
         return;
     }
     const std::optional<ConfigurationChange> found = decodeChange(m_change.version, entry.value);
-    m_isInKey = found && found->id == m_change.id;
+    m_ownsKey = found && found->id == m_change.id;
     readBase();
 }
 
@@ -96,46 +96,47 @@
 {
     m_platform.read(BaseKey, m_guard.wrap([this](const Result<KeyValue> &entry) {
         if (entry.has_value())
-            baseRead(decodeBase(entry.value()));
+            onBaseRead(decodeBase(entry.value()));
         else
-            again(&ChangeSubmission::readBase);
+            retryLater(&ChangeSubmission::readBase);
     }));
 }
 
-void ChangeSubmission::baseRead(const LogBase &base)
+void ChangeSubmission::onBaseRead(const LogBase &base)
 {
-    const bool covered = m_change.version <= base.trimmed;
-    if (!covered) {
-        // The key was never trimmed, so there was one creation of it only: see LogBase.
-        finish(m_isInKey ? SubmissionEnd::Accepted : SubmissionEnd::Lost, base);
+    const bool isTrimmed = m_change.version <= base.trimmedVersion;
+    if (!isTrimmed) {
+        // The key has never been trimmed, so it was created only once: see LogBase.
+        finish(m_ownsKey ? CommitOutcome::Accepted : CommitOutcome::Conflict, base);
         return;
     }
-    // The key had been trimmed. If this change was sent once and its key is younger than the
-    // record, it was created after the trimming and does not count; the next trim removes it.
-    // Otherwise it may have been accepted and trimmed since, while this daemon was paused.
-    if (!m_mayHaveLanded && base.revision < m_keyRevision)
-        finish(SubmissionEnd::Lost);
+    // The version has been trimmed. If the create was sent once and its key is newer than the base
+    // record, the key was created after the trimming and is not accepted; the next trimming removes
+    // it. Otherwise the change may have been accepted and then trimmed while this daemon was
+    // paused.
+    if (!m_hasUnansweredCreate && base.revision < m_keyRevision)
+        finish(CommitOutcome::Conflict);
     else
-        finish(SubmissionEnd::Unsettled);
+        finish(CommitOutcome::Unsettled);
 }
 
-void ChangeSubmission::again(Step step)
+void ChangeSubmission::retryLater(Step step)
 {
     if (m_timers.now() >= m_deadline) {
-        finish(SubmissionEnd::Unsettled);
+        finish(CommitOutcome::Unsettled);
         return;
     }
     const auto jitter =
-        Milliseconds(QRandomGenerator::global()->bounded(qint64(m_delay.count()) + 1));
-    m_retry = m_timers.after(m_delay + jitter, [this, step] { (this->*step)(); });
-    m_delay = std::min(m_delay * 2, LongestDelay);
+        Milliseconds(QRandomGenerator::global()->bounded(qint64(m_retryDelay.count()) + 1));
+    m_retryTimer = m_timers.after(m_retryDelay + jitter, [this, step] { (this->*step)(); });
+    m_retryDelay = std::min(m_retryDelay * 2, MaxRetryDelay);
 }
 
-void ChangeSubmission::finish(SubmissionEnd end, const LogBase &base)
+void ChangeSubmission::finish(CommitOutcome outcome, const LogBase &base)
 {
-    m_retry.reset();
+    m_retryTimer.reset();
     const Callback callback = std::exchange(m_callback, {});
-    callback(end, base);
+    callback(outcome, base);
 }
 
 } // namespace cranberry
--- a/src/configuration/ChangeSubmission.h
+++ b/src/configuration/ChangeSubmission.h
@@ -1,4 +1,3 @@
-// Defines ChangeSubmission, one try to get a change accepted.
 #pragma once
 
 #include "configuration/ConfigurationChange.h"
@@ -14,24 +13,26 @@
 class TimerService;
 class TimerSubscription;
 
-enum class SubmissionEnd {
+/// Outcome of a ChangeSubmission.
+enum class CommitOutcome {
     Accepted,
-    /// Another change has the version.
-    Lost,
-    /// Nothing was written, and nothing will be.
-    NotDone,
-    /// It may have been accepted; the platform did not tell in time.
+    /// Another change was accepted for the version.
+    Conflict,
+    /// The change was not written and will not be.
+    NotWritten,
+    /// The change may have been accepted; the platform did not answer in time.
     Unsettled,
 };
 
-/// Creates the key of a change and settles what became of it. An answer may be lost after the
-/// write took effect: the key is read again, and the change ids tell whose it is.
+/// Makes one attempt to get a change accepted: creates the key of the change and determines the
+/// outcome. If the answer to the create is lost, the write may still have taken effect; the key is
+/// then read back, and the change id in it shows which change was written.
 /// Thread safety: only from the thread of the key-value store.
 class ChangeSubmission
 {
 public:
-    /// @p base is valid only with SubmissionEnd::Accepted.
-    using Callback = std::function<void(SubmissionEnd end, const LogBase &base)>;
+    /// @p base is valid only with CommitOutcome::Accepted.
+    using Callback = std::function<void(CommitOutcome outcome, const LogBase &base)>;
 
     /// Precondition: @p platform and @p timers outlive the submission.
     ChangeSubmission(KeyValueStore &platform, TimerService &timers, ConfigurationChange change,
@@ -40,7 +41,8 @@
     ChangeSubmission(const ChangeSubmission &) = delete;
     ChangeSubmission &operator=(const ChangeSubmission &) = delete;
 
-    /// Precondition: not started. The callback comes once and may destroy the submission.
+    /// Calls the callback exactly once; the callback may destroy the submission.
+    /// Precondition: not started.
     void start();
 
 private:
@@ -48,26 +50,26 @@
 
     void create();
     void readKey();
-    void keyRead(const KeyValue &entry);
+    void onKeyRead(const KeyValue &entry);
     void readBase();
-    void baseRead(const LogBase &base);
-    void again(Step step);
-    void finish(SubmissionEnd end, const LogBase &base = {});
+    void onBaseRead(const LogBase &base);
+    void retryLater(Step step);
+    void finish(CommitOutcome outcome, const LogBase &base = {});
 
     KeyValueStore &m_platform;
     TimerService &m_timers;
     const ConfigurationChange m_change;
     Callback m_callback;
     MonotonicTime m_deadline;
-    Milliseconds m_delay;
-    /// A create was sent whose answer did not come: it may take effect until the key exists.
-    bool m_mayHaveLanded = false;
-    /// The key was seen to hold this change, or to have been created by it.
-    bool m_isInKey = false;
-    /// After a create that was answered.
+    Milliseconds m_retryDelay;
+    /// A create was sent and not answered. It may still take effect as long as the key is absent.
+    bool m_hasUnansweredCreate = false;
+    /// The key was created by this submission or has been read to hold its change.
+    bool m_ownsKey = false;
+    /// Revision of the key, set when a create is answered with success.
     Revision m_keyRevision;
-    std::unique_ptr<TimerSubscription> m_retry;
-    internal::LifeGuard m_guard;
+    std::unique_ptr<TimerSubscription> m_retryTimer;
+    internal::CallbackGuard m_guard;
 };
 
 } // namespace cranberry
--- a/src/configuration/Configuration.h
+++ b/src/configuration/Configuration.h
@@ -1,4 +1,3 @@
-// Defines Configuration, the document by which operators say what the system routes across.
 #pragma once
 
 #include "base/Ids.h"
@@ -14,17 +13,18 @@
 enum class ServiceKind {
     /// Model engines that generate tokens.
     Model,
-    /// Plain HTTP services; some of their calls may not be repeated.
+    /// Plain HTTP services; some of their calls must not be repeated.
     Plain,
 };
 
-/// What a service's users weigh most; sets horizon, margin and prompt budget of placement.
+/// Latency that matters most to the users of a service; determines the horizon, margin and prompt
+/// budget of placement.
 enum class Objective {
     Stall,
     InterToken,
 };
 
-/// How a target is chosen. The first three are baselines to measure against.
+/// Policy by which a target is chosen. The first three are baselines for comparison.
 enum class PolicyName {
     RoundRobin,
     LeastRequests,
@@ -36,16 +36,16 @@
     ServiceKind kind = ServiceKind::Model;
     Objective objective = Objective::Stall;
     PolicyName policy = PolicyName::Forecast;
-    /// Default for requests that do not say: true runs each at most once.
+    /// Default for requests that do not specify it. If true, each request runs at most once.
     bool atMostOnce = false;
-    /// Highest accepted chance that a target runs out of memory within the horizon.
+    /// Maximum accepted probability that a target runs out of memory within the horizon.
     double preemptionChance = 0.02;
-    /// Requests that may wait for a target, over all workspaces, in one daemon.
+    /// Maximum number of requests of all workspaces that wait for a target in one daemon.
     int queueLimit = 256;
     Milliseconds defaultDeadline{120'000};
-    /// Whether its targets refuse orders with an old fencing number.
+    /// Whether the targets of the service refuse orders with an outdated fencing number.
     bool targetsCheckFencing = true;
-    /// Loads that may be under way at once over the service.
+    /// Maximum number of concurrent loads in the service.
     int concurrentLoads = 1;
 };
 
@@ -56,17 +56,17 @@
 };
 
 struct WorkspaceLimits {
-    /// Requests under way at once in one daemon; 0 is without limit.
+    /// Maximum number of concurrent requests in one daemon; 0 means no limit.
     int concurrentRequests = 0;
-    /// Requests a second in one daemon; 0 is without limit.
+    /// Maximum requests per second in one daemon; 0 means no limit.
     double requestsPerSecond = 0;
 };
 
 struct WorkspaceConfiguration {
-    /// SHA-256 of each accepted key, as 64 lower-case hex digits; keys themselves are never kept.
+    /// SHA-256 of each accepted key, as 64 lower-case hex digits; the keys are never stored.
     QList<QByteArray> keyHashes;
     QList<ServiceId> services;
-    /// Share of a crowded service relative to other workspaces.
+    /// Relative share of an overloaded service among workspaces.
     double weight = 1.0;
     WorkspaceLimits limits;
 };
@@ -75,12 +75,13 @@
     ServiceId service;
     HttpEndpoint endpoint;
     DataCentreId dataCentre;
-    /// Models that it serves; empty for plain services.
+    /// Models that the target serves; empty for plain services.
     QList<ModelId> models;
 };
 
-/// One whole version. Immutable once published: it is shared between threads by
-/// std::shared_ptr<const Configuration>, and a request keeps the one it was admitted under.
+/// One version of the configuration by which operators define what the system routes across.
+/// Immutable once published: it is shared between threads as std::shared_ptr<const Configuration>,
+/// and a request keeps the version that it was admitted under.
 struct Configuration {
     ConfigurationVersion version;
     QMap<ServiceId, ServiceConfiguration> services;
--- a/src/configuration/ConfigurationChange.h
+++ b/src/configuration/ConfigurationChange.h
@@ -1,4 +1,3 @@
-// Defines ConfigurationChange, one accepted step from a version of the document to the next.
 #pragma once
 
 #include "base/Ids.h"
@@ -11,20 +10,22 @@
 
 namespace cranberry {
 
+/// The step from one version of the configuration document to the next.
 /// Thread safety: a value type.
 struct ConfigurationChange {
-    /// The version that it leads to.
+    /// Version that results from the change.
     ConfigurationVersion version;
-    /// Tells this change from another that was submitted for the same version.
+    /// Distinguishes this change from others submitted for the same version.
     ChangeId id;
-    /// RFC 7396 patch against the version before.
+    /// RFC 7396 merge patch against the previous version.
     QJsonObject patch;
 };
 
-/// The value that stands in the platform's service for @p change. Thread-safe.
+/// The value that represents @p change in the platform's key-value service. Thread-safe.
 QByteArray encodeChange(const ConfigurationChange &change);
 
-/// The change for @p version that @p value states; nothing if it states none. Thread-safe.
+/// Decodes the change that leads to @p version from @p value; nullopt if @p value is malformed.
+/// Thread-safe.
 std::optional<ConfigurationChange> decodeChange(ConfigurationVersion version,
                                                 const QByteArray &value);
 
--- a/src/configuration/ConfigurationFault.h
+++ b/src/configuration/ConfigurationFault.h
@@ -1,15 +1,14 @@
-// Defines ConfigurationFault, one thing that is wrong with a configuration document.
 #pragma once
 
 #include <QString>
 
 namespace cranberry {
 
-/// One fault of a document.
+/// One validation error of a configuration document.
 struct ConfigurationFault {
     /// JSON path, such as "targets.t1.url".
     QString path;
-    /// What is allowed and the value found.
+    /// The allowed values and the actual value.
     QString message;
 
     /// One line: the path, a colon and the message.
--- a/src/configuration/ConfigurationLog.cpp
+++ b/src/configuration/ConfigurationLog.cpp
@@ -28,7 +28,7 @@
 {
     return QStringLiteral("%1%2/%3/%4")
         .arg(SnapshotPrefix)
-        .arg(base.snapshot.value())
+        .arg(base.snapshotVersion.value())
         .arg(base.snapshotId)
         .arg(part);
 }
@@ -50,10 +50,10 @@
 
 QByteArray encodeBase(const LogBase &base)
 {
-    const QJsonObject json{{"snapshot", base.snapshot.value()},
+    const QJsonObject json{{"snapshot", base.snapshotVersion.value()},
                            {"snapshot_id", base.snapshotId},
-                           {"parts", base.parts},
-                           {"trimmed", base.trimmed.value()}};
+                           {"parts", base.partCount},
+                           {"trimmed", base.trimmedVersion.value()}};
     return QJsonDocument(json).toJson(QJsonDocument::Compact);
 }
 
@@ -61,10 +61,10 @@
 {
     const QJsonObject json = QJsonDocument::fromJson(entry.value).object();
     LogBase base;
-    base.snapshot = ConfigurationVersion(json["snapshot"].toInteger());
+    base.snapshotVersion = ConfigurationVersion(json["snapshot"].toInteger());
     base.snapshotId = json["snapshot_id"].toString();
-    base.parts = json["parts"].toInt();
-    base.trimmed = ConfigurationVersion(json["trimmed"].toInteger());
+    base.partCount = json["parts"].toInt();
+    base.trimmedVersion = ConfigurationVersion(json["trimmed"].toInteger());
     base.revision = entry.revision;
     return base;
 }
@@ -73,7 +73,7 @@
 {
     LogPage page;
     for (const KeyValue &entry : entries) {
-        page.highest = std::max(page.highest, entry.revision);
+        page.highestRevision = std::max(page.highestRevision, entry.revision);
         if (entry.key == BaseKey)
             page.base = decodeBase(entry);
         const ConfigurationVersion version = changeVersionOf(entry.key);
--- a/src/configuration/ConfigurationLog.h
+++ b/src/configuration/ConfigurationLog.h
@@ -1,4 +1,3 @@
-// Defines how the accepted changes and the newest snapshot stand in the platform's service.
 #pragma once
 
 #include "configuration/ConfigurationChange.h"
@@ -10,59 +9,65 @@
 
 namespace cranberry {
 
-/// The changes and the base record stand under this prefix, so that one listing or one watch
-/// shows both as of one moment.
+/// Key prefix of the accepted changes and the base record in the platform's key-value service.
+/// Both share it, so that one listing or one watch returns a consistent view of both.
 extern const QString ChangePrefix;
 /// Key of the base record.
 extern const QString BaseKey;
-/// Parts of snapshots; apart from the changes, so that a watch does not carry them.
+/// Key prefix of snapshot parts. It lies outside ChangePrefix, so that a watch of the changes does
+/// not transfer them.
 extern const QString SnapshotPrefix;
 
-/// Names the newest snapshot and says which changes may have been trimmed.
+/// Base record of the change log: names the newest snapshot and states up to which version
+/// changes may have been trimmed.
 ///
-/// The failure it guards against: a daemon that was paused since version n creates the key of
-/// change n+1 after the true one was trimmed. The create-if-absent succeeds, and version n+1
-/// would have two changes. It cannot hurt because changes up to `trimmed` do not count for any
-/// reader, and because whoever creates a change reads this record afterwards: only if it does
-/// not cover the change then, the key had never been trimmed before and its creation is the
-/// acceptance. `trimmed` is written before the first key is removed, and only grows.
+/// It prevents two changes with one version: a daemon that was paused at version n could create
+/// the key of change n+1 after the accepted change n+1 has been trimmed, and the create-if-absent
+/// would succeed. Readers therefore ignore changes up to `trimmedVersion`, and a daemon that has
+/// created the key of a change reads this record afterwards. If the version of the change is
+/// above `trimmedVersion` then, the key had never been trimmed before, and its creation means
+/// acceptance. `trimmedVersion` is written before the first key is removed and never decreases.
 struct LogBase {
     /// Version of the newest snapshot; 0 if there is none.
-    ConfigurationVersion snapshot;
-    /// Tells the parts of this snapshot from those of another writer at the same version.
+    ConfigurationVersion snapshotVersion;
+    /// Distinguishes the parts of this snapshot from those that another writer created for the
+    /// same version.
     QString snapshotId;
-    int parts = 0;
-    /// Changes up to this version may be gone.
-    ConfigurationVersion trimmed;
-    /// Revision of the record; 0 if there is none yet.
+    int partCount = 0;
+    /// Changes up to this version may have been removed.
+    ConfigurationVersion trimmedVersion;
+    /// Revision of the record's key; 0 if there is no record yet.
     Revision revision;
 };
 
-/// What a listing of ChangePrefix, or an answer of a watch on it, shows.
+/// Decoded result of a listing or a watch of ChangePrefix.
 struct LogPage {
-    /// Absent from an answer of a watch if it has not changed.
+    /// Absent from a watch result if the record has not changed.
     std::optional<LogBase> base;
-    /// In order of their version; trimmed ones that do not count may be among them.
+    /// In order of version; may include changes up to `trimmedVersion`, which are to be ignored.
     QList<ConfigurationChange> changes;
-    /// Highest revision of any entry; a watch goes on from it.
-    Revision highest;
+    /// Highest revision of all entries; the next watch continues after it.
+    Revision highestRevision;
 };
 
-/// "configuration/change/000000000042". Thread-safe.
+/// Key of the change that leads to @p version, such as "configuration/change/000000000042".
+/// Thread-safe.
 QString changeKey(ConfigurationVersion version);
-/// Key of part @p part, counted from 0, of the snapshot that @p base names. Thread-safe.
+/// Key of the part with index @p part, from 0, of the snapshot named by @p base. Thread-safe.
 QString snapshotPartKey(const LogBase &base, int part);
-/// The version of the snapshot that has the part @p key; 0 if it is no such key. Thread-safe.
+/// Version of the snapshot that the part with key @p key belongs to; 0 if @p key is not the key of
+/// a snapshot part. Thread-safe.
 ConfigurationVersion snapshotVersionOf(const QString &key);
-/// The version of the change that @p key stands for; 0 if it is no such key. Thread-safe.
+/// Version of the change with key @p key; 0 if @p key is not the key of a change. Thread-safe.
 ConfigurationVersion changeVersionOf(const QString &key);
 
 QByteArray encodeBase(const LogBase &base);
-/// The record in @p entry; one without snapshot if the entry is absent or unreadable.
-/// Thread-safe.
+/// Decodes the base record in @p entry. The result names no snapshot if the entry is absent or
+/// malformed. Thread-safe.
 LogBase decodeBase(const KeyValue &entry);
 
-/// Reads @p entries, which are in key order. Thread-safe.
+/// Decodes @p entries; malformed changes are left out. Precondition: @p entries are in key order.
+/// Thread-safe.
 LogPage readLogPage(const QList<KeyValue> &entries);
 
 } // namespace cranberry
--- a/src/configuration/ConfigurationSpread.cpp
+++ b/src/configuration/ConfigurationSpread.cpp
@@ -20,21 +20,22 @@
 namespace {
 
 constexpr int WatchersPerDataCentre = 2;
-constexpr Milliseconds ChooseInterval{1000};
-constexpr Milliseconds WatchTime{30'000};
-constexpr Milliseconds FirstRetry{200};
-constexpr Milliseconds LongestRetry{10'000};
-/// A pull that was not answered by then may be sent anew.
-constexpr Milliseconds PullTime{500};
-/// Without the changes from a peer by then, the platform is asked.
-constexpr Milliseconds FallbackTime{1500};
+constexpr Milliseconds WatcherSelectionInterval{1000};
+constexpr Milliseconds WatchTimeout{30'000};
+constexpr Milliseconds MinRetryDelay{200};
+constexpr Milliseconds MaxRetryDelay{10'000};
+/// A new pull may be sent if the previous one has not been answered within this time.
+constexpr Milliseconds PullTimeout{500};
+/// Time to wait for the changes from a peer before loading them from the platform.
+constexpr Milliseconds FallbackDelay{1500};
 constexpr Milliseconds FallbackJitter{1000};
-/// Daemons that each passes a change on to.
+/// Maximum number of daemons to which one daemon relays a change.
 constexpr int FanOut = 4;
-/// Heads of trees to remember; two at a time, and others as VMs are replaced.
-constexpr size_t MostTrees = 64;
-/// A frame between daemons holds 1 MB.
-constexpr qsizetype PeerPartSize = 256 * 1024;
+/// Maximum number of tree roots in m_relayedVersions. Two roots are active at a time; the
+/// others belong to replaced VMs.
+constexpr size_t MaxTrackedTrees = 64;
+/// Keeps a message within the limit of 1 MB for a frame between daemons.
+constexpr qsizetype MaxPeerPartBytes = 256 * 1024;
 
 const QString WatchRankKey = QStringLiteral("configuration-watch");
 const QString After = QStringLiteral("after");
@@ -47,9 +48,9 @@
 const QString Root = QStringLiteral("root");
 const QString Patch = QStringLiteral("patch");
 
-Milliseconds withJitter(Milliseconds time, Milliseconds jitter)
+Milliseconds withJitter(Milliseconds time, Milliseconds maxJitter)
 {
-    return time + Milliseconds(QRandomGenerator::global()->bounded(qint64(jitter.count()) + 1));
+    return time + Milliseconds(QRandomGenerator::global()->bounded(qint64(maxJitter.count()) + 1));
 }
 
 QCborMap changeToCbor(const ConfigurationChange &change)
@@ -67,64 +68,65 @@
 
 } // namespace
 
-ConfigurationSpread::ConfigurationSpread(ConfigurationStore &store, KeyValueStore &platform,
-                                         PeerNetwork &peers, const MemberView &members,
-                                         TimerService &timers)
+ConfigurationPropagator::ConfigurationPropagator(ConfigurationStore &store, KeyValueStore &platform,
+                                                 PeerNetwork &peers, const MemberView &members,
+                                                 TimerService &timers)
     : m_store(store)
     , m_platform(platform)
     , m_peers(peers)
     , m_members(members)
     , m_timers(timers)
 {
-    m_store.onInForce(
-        m_guard.wrap([this](const std::shared_ptr<const Configuration> &) { sendOut(); }));
+    m_store.onInForce(m_guard.wrap(
+        [this](const std::shared_ptr<const Configuration> &) { broadcastNewChanges(); }));
     m_peers.subscribe(PeerMessageKind::ConfigurationPull,
                       [this](const VmId &from, const QCborMap &body) { answerPull(from, body); });
     m_peers.subscribe(PeerMessageKind::ConfigurationChanges,
                       [this](const VmId &from, const QCborMap &body) {
                           if (body.contains(Document))
-                              takeDocumentPart(from, body);
+                              onDocumentPartReceived(from, body);
                           else
-                              takeChanges(body);
+                              onChangesReceived(body);
                       });
 }
 
-ConfigurationSpread::~ConfigurationSpread() = default;
+ConfigurationPropagator::~ConfigurationPropagator() = default;
 
-void ConfigurationSpread::start()
+void ConfigurationPropagator::start()
 {
     load();
-    m_chooser = m_timers.every(ChooseInterval, [this] { chooseWatchers(); });
-    chooseWatchers();
+    m_watcherSelectionTimer =
+        m_timers.every(WatcherSelectionInterval, [this] { selectWatchers(); });
+    selectWatchers();
 }
 
-bool ConfigurationSpread::needsLoad() const
+bool ConfigurationPropagator::needsLoad() const
 {
-    return !m_store.current() || m_store.version() < m_heard;
+    return !m_store.current() || m_store.version() < m_highestPeerVersion;
 }
 
-void ConfigurationSpread::load()
+void ConfigurationPropagator::load()
 {
     m_store.load(m_guard.wrap([this](const Result<ConfigurationVersion> &loaded) {
         setPlatformReachable(loaded.has_value());
-        // Tried on even if a peer gives the version meanwhile: nothing else would tell a daemon
-        // without a watch that the platform is back.
+        // Retries even if a peer has delivered the version in the meantime: a daemon without a
+        // watch has no other way to detect that the platform is reachable again.
         if (!loaded.has_value())
-            m_loadRetry = m_timers.after(nextDelay(), [this] { load(); });
+            m_loadRetryTimer = m_timers.after(nextRetryDelay(), [this] { load(); });
     }));
 }
 
-Milliseconds ConfigurationSpread::nextDelay()
+Milliseconds ConfigurationPropagator::nextRetryDelay()
 {
-    Milliseconds delay = FirstRetry;
-    for (int i = 0; i < m_failures && delay < LongestRetry; ++i)
+    Milliseconds delay = MinRetryDelay;
+    for (int i = 0; i < m_consecutiveFailures && delay < MaxRetryDelay; ++i)
         delay *= 2;
-    return withJitter(std::min(delay, LongestRetry), delay);
+    return withJitter(std::min(delay, MaxRetryDelay), delay);
 }
 
-void ConfigurationSpread::setPlatformReachable(bool reachable)
+void ConfigurationPropagator::setPlatformReachable(bool reachable)
 {
-    m_failures = reachable ? 0 : m_failures + 1;
+    m_consecutiveFailures = reachable ? 0 : m_consecutiveFailures + 1;
     if (reachable == m_platformReachable)
         return;
     m_platformReachable = reachable;
@@ -132,7 +134,7 @@
              reachable ? EventId::PlatformBack : EventId::PlatformDown, {});
 }
 
-QList<VmId> ConfigurationSpread::liveInOwnDataCentre() const
+QList<VmId> ConfigurationPropagator::liveMembersInOwnDataCentre() const
 {
     const VmId self = m_members.self();
     const QList<Member> live = m_members.liveMembers();
@@ -146,78 +148,79 @@
     return found;
 }
 
-void ConfigurationSpread::chooseWatchers()
+void ConfigurationPropagator::selectWatchers()
 {
     const VmId self = m_members.self();
-    const QList<VmId> candidates = liveInOwnDataCentre();
+    const QList<VmId> candidates = liveMembersInOwnDataCentre();
     const QList<VmId> watchers = rendezvousOrder(WatchRankKey, candidates, WatchersPerDataCentre);
-    // A daemon that knows of nobody, not even itself, has nobody to hear from but the platform.
+    // A daemon that knows no live member of its data centre, not even itself, can receive changes
+    // only from the platform.
     m_watching = candidates.isEmpty() || watchers.contains(self);
     if (m_watching)
         watch();
 }
 
-void ConfigurationSpread::watch()
+void ConfigurationPropagator::watch()
 {
-    if (m_watchWaits || m_watchRetry)
+    if (m_isWatchPending || m_watchRetryTimer)
         return;
-    m_watchWaits = true;
-    m_platform.watch(ChangePrefix, m_watched, WatchTime,
+    m_isWatchPending = true;
+    m_platform.watch(ChangePrefix, m_watchedRevision, WatchTimeout,
                      m_guard.wrap([this](const Result<QList<KeyValue>> &entries) {
-                         m_watchWaits = false;
+                         m_isWatchPending = false;
                          setPlatformReachable(entries.has_value());
                          if (entries.has_value())
-                             watchAnswered(entries.value());
+                             onWatchResult(entries.value());
                          else
-                             watchAgainLater();
+                             scheduleWatchRetry();
                      }));
 }
 
-void ConfigurationSpread::watchAnswered(const QList<KeyValue> &entries)
+void ConfigurationPropagator::onWatchResult(const QList<KeyValue> &entries)
 {
     const LogPage page = readLogPage(entries);
-    m_watched = std::max(m_watched, page.highest);
+    m_watchedRevision = std::max(m_watchedRevision, page.highestRevision);
     m_store.applyPage(page);
     if (m_watching)
         watch();
 }
 
-void ConfigurationSpread::watchAgainLater()
+void ConfigurationPropagator::scheduleWatchRetry()
 {
-    m_watchRetry = m_timers.after(nextDelay(), [this] {
-        m_watchRetry.reset();
+    m_watchRetryTimer = m_timers.after(nextRetryDelay(), [this] {
+        m_watchRetryTimer.reset();
         if (m_watching)
             watch();
     });
 }
 
-void ConfigurationSpread::versionHeard(const VmId &from, ConfigurationVersion version)
+void ConfigurationPropagator::onPeerVersion(const VmId &from, ConfigurationVersion version)
 {
-    m_heard = std::max(m_heard, version);
+    m_highestPeerVersion = std::max(m_highestPeerVersion, version);
     if (version <= m_store.version())
         return;
-    pullFrom(from);
-    fallBackLater();
+    startPull(from);
+    scheduleFallbackLoad();
 }
 
-void ConfigurationSpread::pullFrom(const VmId &peer)
+void ConfigurationPropagator::startPull(const VmId &peer)
 {
     const MonotonicTime now = m_timers.now();
-    const bool isUnderWay = m_pull && now - m_pull->sentAt < PullTime;
-    if (isUnderWay)
+    const bool isPullPending = m_pull && now - m_pull->sentAt < PullTimeout;
+    if (isPullPending)
         return;
     m_pull = Pull{peer, now, {}, {}};
     sendPull(0);
 }
 
-void ConfigurationSpread::sendPull(int part)
+void ConfigurationPropagator::sendPull(int part)
 {
     m_pull->sentAt = m_timers.now();
     const QCborMap body{{After, m_store.version().value()}, {Part, part}};
     m_peers.send(m_pull->peer, PeerMessageKind::ConfigurationPull, body);
 }
 
-void ConfigurationSpread::answerPull(const VmId &peer, const QCborMap &body)
+void ConfigurationPropagator::answerPull(const VmId &peer, const QCborMap &body)
 {
     const ConfigurationVersion after(body[After].toInteger());
     const ConfigurationVersion version = m_store.version();
@@ -231,20 +234,20 @@
         }
     }
     if (m_servedVersion != version) {
-        m_served = snapshotParts(QJsonDocument(m_store.document()).toJson(QJsonDocument::Compact),
-                                 PeerPartSize);
+        m_servedParts = snapshotParts(
+            QJsonDocument(m_store.document()).toJson(QJsonDocument::Compact), MaxPeerPartBytes);
         m_servedVersion = version;
     }
-    if (part < 0 || part >= m_served.size())
+    if (part < 0 || part >= m_servedParts.size())
         return;
     m_peers.send(peer, PeerMessageKind::ConfigurationChanges,
                  {{Version, version.value()},
                   {Part, part},
-                  {Parts, m_served.size()},
-                  {Document, m_served.at(part)}});
+                  {Parts, m_servedParts.size()},
+                  {Document, m_servedParts.at(part)}});
 }
 
-std::optional<QCborMap> ConfigurationSpread::changesMessage(ConfigurationVersion after) const
+std::optional<QCborMap> ConfigurationPropagator::changesMessage(ConfigurationVersion after) const
 {
     const std::optional<QList<ConfigurationChange>> changes = m_store.changesAfter(after);
     if (!changes)
@@ -254,15 +257,16 @@
     for (const ConfigurationChange &change : *changes) {
         const QCborMap encoded = changeToCbor(change);
         size += encoded.toCborValue().toCbor().size();
-        // The rest is pulled when these are in force; one change alone may be larger.
-        if (size > PeerPartSize && !list.isEmpty())
+        // The receiver pulls the rest once these are in force. A single change may exceed the
+        // limit.
+        if (size > MaxPeerPartBytes && !list.isEmpty())
             break;
         list.append(encoded);
     }
     return QCborMap{{Changes, list}};
 }
 
-void ConfigurationSpread::takeChanges(const QCborMap &body)
+void ConfigurationPropagator::onChangesReceived(const QCborMap &body)
 {
     QList<ConfigurationChange> changes;
     const QCborArray list = body[Changes].toArray();
@@ -274,14 +278,14 @@
     m_store.applyChanges(changes);
 }
 
-void ConfigurationSpread::takeDocumentPart(const VmId &peer, const QCborMap &body)
+void ConfigurationPropagator::onDocumentPartReceived(const VmId &peer, const QCborMap &body)
 {
     if (!m_pull || m_pull->peer != peer)
         return;
     const ConfigurationVersion version(body[Version].toInteger());
     const qint64 part = body[Part].toInteger();
     if (version != m_pull->documentVersion) {
-        // The peer has gone on to another version while its document was being pulled.
+        // The peer has changed to another version while its document was being pulled.
         m_pull->documentVersion = version;
         m_pull->parts.clear();
     }
@@ -300,10 +304,11 @@
         m_store.applyDocument(version, document.object());
 }
 
-void ConfigurationSpread::sendOut()
+void ConfigurationPropagator::broadcastNewChanges()
 {
-    const std::optional<ConfigurationVersion> before = std::exchange(m_sentOut, m_store.version());
-    // What a daemon has when it starts is no news.
+    const std::optional<ConfigurationVersion> before =
+        std::exchange(m_lastInForceVersion, m_store.version());
+    // The version that is put in force at startup is not broadcast.
     if (!m_watching || !before || m_store.version() <= *before)
         return;
     std::optional<QCborMap> message = changesMessage(*before);
@@ -313,29 +318,30 @@
     relay(*message, m_members.self(), m_store.version());
 }
 
-void ConfigurationSpread::relay(const QCborMap &message, const VmId &root,
-                                ConfigurationVersion version)
+void ConfigurationPropagator::relay(const QCborMap &message, const VmId &root,
+                                    ConfigurationVersion version)
 {
-    // Each tree is followed to its end, also with changes that came along another before: if
-    // daemons passed on only what is new to them, two trees could cut off each other's branches.
-    if (m_relayed.size() > MostTrees)
-        m_relayed.clear(); // of VMs that have gone; at worst a message is passed on twice
-    ConfigurationVersion &relayed = m_relayed[root];
-    if (version <= relayed)
+    // Relays along each tree independently, including changes already received along another tree.
+    // If daemons relayed only changes that are new to them, two trees could prune each other's
+    // branches.
+    if (m_relayedVersions.size() > MaxTrackedTrees)
+        m_relayedVersions.clear(); // Mostly replaced VMs; at worst a message is relayed twice.
+    ConfigurationVersion &relayedVersion = m_relayedVersions[root];
+    if (version <= relayedVersion)
         return;
-    relayed = version;
+    relayedVersion = version;
     const QList<VmId> children =
-        spreadChildren(liveInOwnDataCentre(), root, m_members.self(), FanOut);
+        broadcastChildren(liveMembersInOwnDataCentre(), root, m_members.self(), FanOut);
     for (const VmId &child : children)
         m_peers.send(child, PeerMessageKind::ConfigurationChanges, message);
 }
 
-void ConfigurationSpread::fallBackLater()
+void ConfigurationPropagator::scheduleFallbackLoad()
 {
-    if (m_fallback)
+    if (m_fallbackTimer)
         return;
-    m_fallback = m_timers.after(withJitter(FallbackTime, FallbackJitter), [this] {
-        m_fallback.reset();
+    m_fallbackTimer = m_timers.after(withJitter(FallbackDelay, FallbackJitter), [this] {
+        m_fallbackTimer.reset();
         if (needsLoad())
             load();
     });
--- a/src/configuration/ConfigurationSpread.h
+++ b/src/configuration/ConfigurationSpread.h
@@ -1,4 +1,3 @@
-// Defines ConfigurationSpread, by which a daemon learns of accepted changes.
 #pragma once
 
 #include "base/Ids.h"
@@ -24,62 +23,63 @@
 class TimerService;
 class TimerSubscription;
 
-/// Two daemons a data centre, chosen by rendezvous hashing among the live members, watch the
-/// platform and pass new changes on along a tree of the data centre's daemons. Whoever that
-/// does not reach hears of the version by heartbeat and pulls its changes from whoever it heard
-/// it from. That keeps the calls on the platform independent of the number of daemons. Nothing
-/// that must hold rests on it: it only carries changes already accepted.
+/// Delivers accepted changes to this daemon and forwards them to others. Two daemons per data
+/// centre, chosen by rendezvous hashing among the live members, watch the platform's key-value
+/// service and broadcast new changes along a tree of the daemons in their data centre. A daemon
+/// that misses a broadcast learns the version from a heartbeat and pulls the changes from the
+/// sender of the heartbeat. The load on the platform's service is thus independent of the number of
+/// daemons. Correctness does not depend on this class, since it only transfers accepted changes.
 /// Thread safety: only from its own thread.
-class ConfigurationSpread
+class ConfigurationPropagator
 {
 public:
-    /// Precondition: the arguments outlive the spread.
-    ConfigurationSpread(ConfigurationStore &store, KeyValueStore &platform, PeerNetwork &peers,
-                        const MemberView &members, TimerService &timers);
-    ~ConfigurationSpread();
-    ConfigurationSpread(const ConfigurationSpread &) = delete;
-    ConfigurationSpread &operator=(const ConfigurationSpread &) = delete;
+    /// Precondition: the arguments outlive the propagator.
+    ConfigurationPropagator(ConfigurationStore &store, KeyValueStore &platform, PeerNetwork &peers,
+                            const MemberView &members, TimerService &timers);
+    ~ConfigurationPropagator();
+    ConfigurationPropagator(const ConfigurationPropagator &) = delete;
+    ConfigurationPropagator &operator=(const ConfigurationPropagator &) = delete;
 
-    /// Loads from the platform, or from peers while it is down, and keeps up from then on.
-    /// Precondition: not started.
+    /// Loads the configuration from the platform, or from peers while the platform is unreachable,
+    /// and keeps it up to date from then on. Precondition: not started.
     void start();
 
-    /// @p from has @p version, by its heartbeat.
-    void versionHeard(const VmId &from, ConfigurationVersion version);
+    /// Notifies this object that a heartbeat of @p from reported @p version.
+    void onPeerVersion(const VmId &from, ConfigurationVersion version);
 
-    /// True while this daemon is one of those that watch the platform.
+    /// True while this daemon is one of the watchers of its data centre.
     bool isWatching() const { return m_watching; }
-    /// False from a failed call on the platform until one is answered.
+    /// False from a failed call to the platform until the next successful one.
     bool isPlatformReachable() const { return m_platformReachable; }
 
 private:
-    /// What was asked of a peer and has not come whole yet.
+    /// A request to a peer whose response is not complete yet.
     struct Pull {
         VmId peer;
         MonotonicTime sentAt;
-        /// Version of the document whose parts came so far.
+        /// Version of the document that the received parts belong to.
         ConfigurationVersion documentVersion;
         QByteArrayList parts;
     };
 
     bool needsLoad() const;
     void load();
-    Milliseconds nextDelay();
+    Milliseconds nextRetryDelay();
     void setPlatformReachable(bool reachable);
-    QList<VmId> liveInOwnDataCentre() const;
-    void chooseWatchers();
+    QList<VmId> liveMembersInOwnDataCentre() const;
+    void selectWatchers();
     void watch();
-    void watchAnswered(const QList<KeyValue> &entries);
-    void watchAgainLater();
-    void pullFrom(const VmId &peer);
+    void onWatchResult(const QList<KeyValue> &entries);
+    void scheduleWatchRetry();
+    void startPull(const VmId &peer);
     void sendPull(int part);
     void answerPull(const VmId &peer, const QCborMap &body);
     std::optional<QCborMap> changesMessage(ConfigurationVersion after) const;
-    void takeChanges(const QCborMap &body);
-    void takeDocumentPart(const VmId &peer, const QCborMap &body);
-    void sendOut();
+    void onChangesReceived(const QCborMap &body);
+    void onDocumentPartReceived(const VmId &peer, const QCborMap &body);
+    void broadcastNewChanges();
     void relay(const QCborMap &message, const VmId &root, ConfigurationVersion version);
-    void fallBackLater();
+    void scheduleFallbackLoad();
 
     ConfigurationStore &m_store;
     KeyValueStore &m_platform;
@@ -87,28 +87,30 @@
     const MemberView &m_members;
     TimerService &m_timers;
     bool m_watching = false;
-    /// A watch waits at the platform.
-    bool m_watchWaits = false;
-    /// The watch goes on after this revision.
-    Revision m_watched;
+    /// A watch call to the platform is outstanding.
+    bool m_isWatchPending = false;
+    /// The next watch waits for revisions after this one.
+    Revision m_watchedRevision;
     bool m_platformReachable = true;
-    /// Calls on the platform that failed running.
-    int m_failures = 0;
+    /// Consecutive failed calls to the platform.
+    int m_consecutiveFailures = 0;
     std::optional<Pull> m_pull;
-    /// The version in force up to which this daemon sent changes out, or was not to.
-    std::optional<ConfigurationVersion> m_sentOut;
-    /// For the head of each tree, the last version that was passed on along it.
-    std::map<VmId, ConfigurationVersion> m_relayed;
-    /// Highest version that a peer told.
-    ConfigurationVersion m_heard;
-    /// The document in parts as peers pull it, kept for the version it was last made for.
+    /// Version in force at the last call of broadcastNewChanges(), whether or not this daemon
+    /// broadcast it. Absent before the first call.
+    std::optional<ConfigurationVersion> m_lastInForceVersion;
+    /// For the root of each tree, the last version that was relayed along the tree.
+    std::map<VmId, ConfigurationVersion> m_relayedVersions;
+    /// Highest version reported by a peer.
+    ConfigurationVersion m_highestPeerVersion;
+    /// Version of the document in m_servedParts.
     ConfigurationVersion m_servedVersion;
-    QList<QByteArray> m_served;
-    std::unique_ptr<TimerSubscription> m_chooser;
-    std::unique_ptr<TimerSubscription> m_loadRetry;
-    std::unique_ptr<TimerSubscription> m_watchRetry;
-    std::unique_ptr<TimerSubscription> m_fallback;
-    internal::LifeGuard m_guard;
+    /// Cached parts of the document, in the form in which peers pull them.
+    QList<QByteArray> m_servedParts;
+    std::unique_ptr<TimerSubscription> m_watcherSelectionTimer;
+    std::unique_ptr<TimerSubscription> m_loadRetryTimer;
+    std::unique_ptr<TimerSubscription> m_watchRetryTimer;
+    std::unique_ptr<TimerSubscription> m_fallbackTimer;
+    internal::CallbackGuard m_guard;
 };
 
 } // namespace cranberry
--- a/src/configuration/ConfigurationState.cpp
+++ b/src/configuration/ConfigurationState.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-// Whoever accepted a document found it valid. A daemon of an older build may not: it goes on
-// with the last version that it can read and says so, instead of serving nothing.
-void take(ConfigurationState &state, Result<Configuration> read)
+// Documents are validated before they are accepted, but an older build may not be able to read a
+// document from a newer one. It keeps the last configuration that it could read and reports the
+// error, so that it continues to serve requests.
+void setConfiguration(ConfigurationState &state, Result<Configuration> read)
 {
     state.fault.clear();
     if (read.has_value())
@@ -25,7 +26,7 @@
     ConfigurationState next = state;
     next.version = version;
     next.document = document;
-    take(next, configurationFromDocument(document, version));
+    setConfiguration(next, configurationFromDocument(document, version));
     return next;
 }
 
@@ -34,13 +35,13 @@
 {
     ConfigurationState next = state;
     for (const ConfigurationChange &change : changes) {
-        const bool isWhole = next.configuration && next.configuration->version == next.version;
+        const bool isUpToDate = next.configuration && next.configuration->version == next.version;
         next.document = mergePatch(next.document, change.patch);
         next.version = change.version;
-        take(next,
-             isWhole ? configurationAfterPatch(*next.configuration, next.document, change.patch,
-                                               change.version)
-                     : configurationFromDocument(next.document, change.version));
+        setConfiguration(next,
+                         isUpToDate ? configurationAfterPatch(*next.configuration, next.document,
+                                                              change.patch, change.version)
+                                    : configurationFromDocument(next.document, change.version));
     }
     return next;
 }
--- a/src/configuration/ConfigurationState.h
+++ b/src/configuration/ConfigurationState.h
@@ -1,4 +1,3 @@
-// Defines ConfigurationState, one version of the document and what it puts in force.
 #pragma once
 
 #include "configuration/Configuration.h"
@@ -11,21 +10,23 @@
 
 namespace cranberry {
 
-/// Thread safety: a value type; what it shares is immutable.
+/// One version of the document and the configuration that it puts in force.
+/// Thread safety: a value type; shared data is immutable.
 struct ConfigurationState {
     ConfigurationVersion version;
     QJsonObject document;
-    /// In force; of an older version if this build cannot read the document. Null at first.
+    /// The configuration in force; of an older version if this build cannot read the document.
+    /// Null until a document has been read.
     std::shared_ptr<const Configuration> configuration;
-    /// Why the document is not in force; empty if it is.
+    /// Error that keeps the document from being in force; empty if it is in force.
     QString fault;
 };
 
-/// @p state with @p document of @p version in its place. Thread-safe.
+/// @p state with its document replaced by @p document of @p version. Thread-safe.
 ConfigurationState stateWithDocument(const ConfigurationState &state, ConfigurationVersion version,
                                      const QJsonObject &document);
 
-/// @p state after @p changes. Precondition: they follow on its version without a gap.
+/// @p state with @p changes applied. Precondition: @p changes continue its version without a gap.
 /// Thread-safe.
 ConfigurationState stateAfter(const ConfigurationState &state,
                               const QList<ConfigurationChange> &changes);
--- a/src/configuration/ConfigurationStore.h
+++ b/src/configuration/ConfigurationStore.h
@@ -1,4 +1,3 @@
-// Defines ConfigurationStore, the configuration in force in one daemon and the way to change it.
 #pragma once
 
 #include "base/Result.h"
@@ -23,12 +22,13 @@
 class SnapshotWriter;
 class TimerService;
 class WorkerPool;
-enum class SubmissionEnd;
+enum class CommitOutcome;
 
-/// Accepts changes through the platform's service and puts versions in force. The only commit
-/// point of a change is the creation of its key there; the version of a daemon only grows.
-/// Thread safety: only from its own thread; callbacks run in it, never inside the call that
-/// they were given to.
+/// Holds the configuration in force in one daemon and submits changes to it. Changes are committed
+/// in the platform's key-value service: a change is accepted if and only if its key was created
+/// there. The version of a daemon never decreases.
+/// Thread safety: only from its own thread; callbacks run in that thread, never from within the
+/// call that registers them.
 class ConfigurationStore
 {
 public:
@@ -42,39 +42,41 @@
     ConfigurationStore(const ConfigurationStore &) = delete;
     ConfigurationStore &operator=(const ConfigurationStore &) = delete;
 
-    /// The configuration in force; null until the first load, or a peer, gave one. Before the
-    /// first change was ever accepted it is the empty one of version 0.
+    /// The configuration in force; null until one has been loaded or received from a peer. It is
+    /// the empty configuration of version 0 if no change has ever been accepted.
     std::shared_ptr<const Configuration> current() const { return m_state.configuration; }
     /// The highest version known to this daemon.
     ConfigurationVersion version() const { return m_state.version; }
     /// The document of version().
     const QJsonObject &document() const { return m_state.document; }
-    /// Why this build cannot put the document in force; empty if it can.
+    /// Error that keeps this build from putting the document in force; empty if there is none.
     const QString &fault() const { return m_state.fault; }
 
-    /// Brings this daemon up to the platform's version; @p done may be empty and is called
-    /// when that is in force. Error PlatformUnavailable: nothing has changed.
+    /// Updates this daemon to the latest version in the platform's service. @p done may be empty;
+    /// it is called once that version is in force. Error PlatformUnavailable: nothing has changed.
     void load(LoadCallback done = {});
 
-    /// Makes @p document the version after @p expected, if that is the present one.
+    /// Submits @p document as the successor of version @p expected. The outcome for a valid
+    /// document is VersionConflict if @p expected is not the current version.
     void submit(ConfigurationVersion expected, const QJsonObject &document,
                 SubmitCallback callback);
 
-    /// Calls @p callback with each version put in force from now on; several versions learnt
-    /// together may be told as one.
+    /// Registers @p callback to be called with each version that is put in force. Versions that
+    /// are applied together may be reported as one call with the last of them.
     void onInForce(InForceCallback callback);
 
-    /// Takes over accepted changes that a peer or a watch told; old and repeated ones are
-    /// passed over, one that leaves a gap waits for it to be filled.
+    /// Applies accepted changes received from a peer or a watch. Old and duplicate changes are
+    /// ignored; a change after a gap is kept until the missing versions have arrived.
     void applyChanges(const QList<ConfigurationChange> &changes);
 
-    /// Takes over a whole accepted version; passed over if it is not newer.
+    /// Applies the full document of an accepted version; ignored if it is not newer.
     void applyDocument(ConfigurationVersion version, const QJsonObject &document);
 
-    /// Takes over what a watch of ChangePrefix showed.
+    /// Applies the result of a listing or a watch of ChangePrefix. Starts a load if changes that
+    /// this daemon lacks may have been trimmed.
     void applyPage(const LogPage &page);
 
-    /// The accepted changes after @p version; nothing if they reach back too far.
+    /// The accepted changes after @p version; nullopt if the history does not reach back to it.
     std::optional<QList<ConfigurationChange>> changesAfter(ConfigurationVersion version) const;
 
 private:
@@ -84,7 +86,7 @@
     };
     struct Waiter {
         ConfigurationVersion version;
-        std::function<void()> call;
+        std::function<void()> callback;
     };
     struct PreparedChange {
         QList<ConfigurationFault> faults;
@@ -93,43 +95,44 @@
 
     void startLoad();
     void finishLoad(const Result<ConfigurationVersion> &result);
-    void submitAtPresent(ConfigurationVersion expected, const QJsonObject &document,
-                         SubmitCallback callback);
-    void send(const ConfigurationChange &change, const SubmitCallback &callback);
-    void submitted(SubmissionEnd end, const ConfigurationChange &change, const LogBase &base,
-                   const SubmitCallback &callback);
+    void validateAndSubmit(ConfigurationVersion expected, const QJsonObject &document,
+                           SubmitCallback callback);
+    void startSubmission(const ConfigurationChange &change, const SubmitCallback &callback);
+    void finishSubmission(CommitOutcome outcome, const ConfigurationChange &change,
+                          const LogBase &base, const SubmitCallback &callback);
     void writeSnapshotIfDue(const LogBase &base);
 
-    void putFirstInForce();
+    void putEmptyInForce();
     void applyPending();
-    QList<ConfigurationChange> takeContiguous(ConfigurationVersion version);
+    QList<ConfigurationChange> takeContiguousChanges(ConfigurationVersion version);
     void putInForce(const ConfigurationState &state, const QList<ConfigurationChange> &changes);
-    void whenAt(ConfigurationVersion version, std::function<void()> call);
+    void callAtVersion(ConfigurationVersion version, std::function<void()> callback);
     void callWaiters();
 
     KeyValueStore &m_platform;
     WorkerPool &m_workers;
     TimerService &m_timers;
     ConfigurationState m_state;
-    /// Changes up to this version do not count if the platform shows them: see LogBase.
-    ConfigurationVersion m_trimmed;
-    /// Accepted changes up to the present version, oldest first, a bounded number.
+    /// Keys of changes up to this version are ignored in results from the platform: see LogBase.
+    ConfigurationVersion m_trimmedVersion;
+    /// The latest accepted changes up to the current version, oldest first; bounded.
     QList<ConfigurationChange> m_history;
-    /// Accepted changes that are not applied yet, by version.
+    /// Accepted changes that have not been applied yet, by version.
     QMap<qint64, ConfigurationChange> m_pending;
     std::optional<PendingDocument> m_pendingDocument;
     bool m_applying = false;
     std::vector<InForceCallback> m_subscribers;
     std::vector<Waiter> m_waiters;
     bool m_loading = false;
-    std::vector<LoadCallback> m_presentLoad;
-    /// Called for after the present load had begun, so that it may show too little for them.
-    std::vector<LoadCallback> m_nextLoad;
-    std::unique_ptr<LogReader> m_reader;
-    std::unique_ptr<SnapshotWriter> m_snapshots;
+    std::vector<LoadCallback> m_runningLoadCallbacks;
+    /// Callbacks of loads requested while another load runs. The running load may have read the
+    /// log before the request, so these wait for the next one.
+    std::vector<LoadCallback> m_nextLoadCallbacks;
+    std::unique_ptr<LogReader> m_logReader;
+    std::unique_ptr<SnapshotWriter> m_snapshotWriter;
     std::map<quint64, std::unique_ptr<ChangeSubmission>> m_submissions;
-    quint64 m_lastSubmission = 0;
-    /// Receiver of what the worker pool hands back; its end drops that.
+    quint64 m_lastSubmissionId = 0;
+    /// Receiver of the worker pool's results; its destruction discards outstanding results.
     QObject m_context;
 };
 
--- a/src/configuration/LifeGuard.h
+++ b/src/configuration/LifeGuard.h
@@ -1,4 +1,3 @@
-// Defines LifeGuard, which drops answers that come after their receiver has gone.
 #pragma once
 
 #include <memory>
@@ -6,14 +5,14 @@
 
 namespace cranberry::internal {
 
-/// A member of an object that hands callbacks to something that may outlive it. The failure:
-/// the object is destroyed while a call on the platform is under way, and the answer runs on
-/// freed memory. A wrapped callback does nothing once the guard is destroyed.
-/// Thread safety: guard and callbacks in one thread.
-class LifeGuard
+/// Disables callbacks once their receiver is destroyed. An object that passes callbacks to a longer
+/// lived one has a guard as a member and wraps them. Without it, the answer to a call to the
+/// platform could run on freed memory if the object is destroyed during the call.
+/// Thread safety: the guard and its callbacks are used in one thread.
+class CallbackGuard
 {
 public:
-    /// @p call, made to do nothing once this guard has gone.
+    /// Returns a callable that forwards to @p call, or does nothing once this guard is destroyed.
     template <typename Call>
     auto wrap(Call call) const
     {
--- a/src/configuration/LogReader.cpp
+++ b/src/configuration/LogReader.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// A snapshot is replaced every 64 changes; to lose this many races running means that the
-/// platform answers too slowly to be of use.
-constexpr int MostRestarts = 5;
+/// Restarts allowed because the snapshot was replaced while it was being read. Snapshots are
+/// replaced every 64 changes, so further restarts mean that the platform answers too slowly for a
+/// read to succeed.
+constexpr int MaxRestarts = 5;
 
-Error unreadable(const QString &detail)
+Error unreadableLogError(const QString &detail)
 {
     Error error;
     error.kind = ErrorKind::PlatformUnavailable;
@@ -24,7 +25,7 @@
 
 void LogReader::read(ConfigurationVersion from, Callback callback)
 {
-    m_from = from;
+    m_fromVersion = from;
     m_callback = std::move(callback);
     m_restarts = 0;
     listChanges();
@@ -40,65 +41,66 @@
         m_page = readLogPage(entries.value());
         if (!m_page.base)
             m_page.base = LogBase();
-        if (m_from < m_page.base->trimmed)
-            readParts();
+        if (m_fromVersion < m_page.base->trimmedVersion)
+            readSnapshot();
         else
-            finishWith(std::nullopt);
+            completeRead(std::nullopt);
     }));
 }
 
-void LogReader::readParts()
+void LogReader::readSnapshot()
 {
-    m_document.clear();
-    if (m_page.base->parts < 1)
-        finish(unreadable(QStringLiteral("the base record names no snapshot")));
+    m_snapshotBytes.clear();
+    if (m_page.base->partCount < 1)
+        finish(unreadableLogError(QStringLiteral("the base record names no snapshot")));
     else
         m_platform.read(
             snapshotPartKey(*m_page.base, 0),
-            m_guard.wrap([this](const Result<KeyValue> &value) { partRead(0, value); }));
+            m_guard.wrap([this](const Result<KeyValue> &value) { onPartRead(0, value); }));
 }
 
-void LogReader::partRead(int part, const Result<KeyValue> &value)
+void LogReader::onPartRead(int part, const Result<KeyValue> &value)
 {
     if (!value.has_value()) {
         finish(value.error());
         return;
     }
     if (value.value().revision == Revision()) {
-        // Another daemon wrote a newer snapshot and removed this one while it was being read.
+        // Another daemon has written a newer snapshot and removed this one during the read.
         restart();
         return;
     }
-    m_document += value.value().value;
+    m_snapshotBytes += value.value().value;
     const int next = part + 1;
-    if (next < m_page.base->parts) {
+    if (next < m_page.base->partCount) {
         m_platform.read(snapshotPartKey(*m_page.base, next),
                         m_guard.wrap([this, next](const Result<KeyValue> &nextValue) {
-                            partRead(next, nextValue);
+                            onPartRead(next, nextValue);
                         }));
         return;
     }
-    const QJsonDocument document = QJsonDocument::fromJson(m_document);
+    const QJsonDocument document = QJsonDocument::fromJson(m_snapshotBytes);
     if (document.isObject())
-        finishWith(document.object());
+        completeRead(document.object());
     else
-        finish(unreadable(QStringLiteral("the snapshot is not a JSON object")));
+        finish(unreadableLogError(QStringLiteral("the snapshot is not a JSON object")));
 }
 
-void LogReader::finishWith(std::optional<QJsonObject> snapshot)
+void LogReader::completeRead(std::optional<QJsonObject> snapshot)
 {
-    ConfigurationVersion reached = snapshot ? m_page.base->snapshot : m_from;
+    ConfigurationVersion platformVersion = snapshot ? m_page.base->snapshotVersion : m_fromVersion;
     for (const ConfigurationChange &change : m_page.changes) {
-        if (change.version <= reached)
+        if (change.version <= platformVersion)
             continue;
-        if (change.version != reached + ConfigurationVersion(1)) {
-            finish(unreadable(QStringLiteral("the change to version %1 is missing or unreadable")
-                                  .arg(reached.value() + 1)));
+        if (change.version != platformVersion + ConfigurationVersion(1)) {
+            finish(unreadableLogError(
+                QStringLiteral("the change to version %1 is missing or unreadable")
+                    .arg(platformVersion.value() + 1)));
             return;
         }
-        reached = change.version;
+        platformVersion = change.version;
     }
-    finish(LogContents{m_page, std::move(snapshot), reached});
+    finish(LogContents{m_page, std::move(snapshot), platformVersion});
 }
 
 void LogReader::finish(Result<LogContents> result)
@@ -110,8 +112,9 @@
 void LogReader::restart()
 {
     ++m_restarts;
-    if (m_restarts > MostRestarts)
-        finish(unreadable(QStringLiteral("the snapshot changed while it was read")));
+    if (m_restarts > MaxRestarts)
+        finish(unreadableLogError(
+            QStringLiteral("the snapshot was replaced repeatedly while it was being read")));
     else
         listChanges();
 }
--- a/src/configuration/LogReader.h
+++ b/src/configuration/LogReader.h
@@ -1,4 +1,3 @@
-// Defines LogReader, which reads snapshot and changes from the platform's service.
 #pragma once
 
 #include "base/Result.h"
@@ -13,16 +12,17 @@
 
 class KeyValueStore;
 
-/// What is needed to go from one version to the platform's.
+/// The data that leads from one version to the latest version in the platform's service.
 struct LogContents {
     LogPage page;
-    /// Document of the version `page.base->snapshot`; absent if the changes reach back far
+    /// Document of version `page.base->snapshotVersion`; absent if the changes reach back far
     /// enough.
     std::optional<QJsonObject> snapshot;
-    /// The platform's version.
-    ConfigurationVersion reached;
+    /// Latest version in the platform's service.
+    ConfigurationVersion platformVersion;
 };
 
+/// Reads the changes, and if needed the newest snapshot, from the platform's service.
 /// Thread safety: only from the thread of the key-value store.
 class LogReader
 {
@@ -35,25 +35,25 @@
     {
     }
 
-    /// Reads what leads from @p from on. @p callback is dropped if the reader is destroyed.
-    /// Precondition: no read is under way.
+    /// Reads the data that leads from version @p from to the latest version. @p callback is not
+    /// called if the reader is destroyed first. Precondition: no read is in progress.
     void read(ConfigurationVersion from, Callback callback);
 
 private:
     void listChanges();
-    void readParts();
-    void partRead(int part, const Result<KeyValue> &value);
-    void finishWith(std::optional<QJsonObject> snapshot);
+    void readSnapshot();
+    void onPartRead(int part, const Result<KeyValue> &value);
+    void completeRead(std::optional<QJsonObject> snapshot);
     void finish(Result<LogContents> result);
     void restart();
 
     KeyValueStore &m_platform;
-    ConfigurationVersion m_from;
+    ConfigurationVersion m_fromVersion;
     Callback m_callback;
     LogPage m_page;
-    QByteArray m_document;
+    QByteArray m_snapshotBytes;
     int m_restarts = 0;
-    internal::LifeGuard m_guard;
+    internal::CallbackGuard m_guard;
 };
 
 } // namespace cranberry
--- a/src/configuration/SnapshotWriter.cpp
+++ b/src/configuration/SnapshotWriter.cpp
@@ -18,13 +18,13 @@
                            const LogBase &base)
 {
     m_busy = true;
-    m_old = base;
-    m_parts = snapshotParts(document, SnapshotPartSize);
-    m_new.snapshot = version;
-    m_new.snapshotId = QUuid::createUuid().toString(QUuid::Id128);
-    m_new.parts = int(m_parts.size());
-    // The last interval stays readable, for daemons that are a little behind.
-    m_new.trimmed = base.snapshot;
+    m_previousBase = base;
+    m_parts = snapshotParts(document, MaxSnapshotPartBytes);
+    m_newBase.snapshotVersion = version;
+    m_newBase.snapshotId = QUuid::createUuid().toString(QUuid::Id128);
+    m_newBase.partCount = int(m_parts.size());
+    // Keeps the changes since the previous snapshot readable, for daemons slightly behind.
+    m_newBase.trimmedVersion = base.snapshotVersion;
     writePart(0);
 }
 
@@ -38,7 +38,7 @@
         else
             swapBase();
     };
-    m_platform.compareAndSwap(snapshotPartKey(m_new, part), Revision(), m_parts.at(part),
+    m_platform.compareAndSwap(snapshotPartKey(m_newBase, part), Revision(), m_parts.at(part),
                               std::nullopt, m_guard.wrap(written));
 }
 
@@ -46,61 +46,63 @@
 {
     m_parts.clear();
     const auto swapped = [this](const SwapResult &result) {
-        // After a lost answer it is not known which snapshot stands, so nothing is removed.
+        // If the answer is lost, it is unknown which snapshot the base record names, so nothing is
+        // removed.
         if (result.outcome == SwapOutcome::Swapped)
-            removeOld();
+            removeObsoleteKeys();
         else
             m_busy = false;
     };
-    m_platform.compareAndSwap(BaseKey, m_old.revision, encodeBase(m_new), std::nullopt,
+    m_platform.compareAndSwap(BaseKey, m_previousBase.revision, encodeBase(m_newBase), std::nullopt,
                               m_guard.wrap(swapped));
 }
 
-void SnapshotWriter::removeOld()
+void SnapshotWriter::removeObsoleteKeys()
 {
-    m_removals.clear();
+    m_keysToRemove.clear();
     listForRemoval(ChangePrefix, [this](const QList<KeyValue> &changes) {
         for (const KeyValue &entry : changes) {
             const ConfigurationVersion version = changeVersionOf(entry.key);
-            if (ConfigurationVersion() < version && version <= m_new.trimmed)
-                m_removals.append({entry.key, {}, entry.revision});
+            if (ConfigurationVersion() < version && version <= m_newBase.trimmedVersion)
+                m_keysToRemove.append({entry.key, {}, entry.revision});
         }
         listForRemoval(SnapshotPrefix, [this](const QList<KeyValue> &parts) {
-            // Another daemon may be writing the parts of a newer snapshot; those stay.
+            // Keeps the parts of newer snapshots, which another daemon may be writing.
             for (const KeyValue &entry : parts) {
-                if (snapshotVersionOf(entry.key) < m_new.snapshot)
-                    m_removals.append({entry.key, {}, entry.revision});
+                if (snapshotVersionOf(entry.key) < m_newBase.snapshotVersion)
+                    m_keysToRemove.append({entry.key, {}, entry.revision});
             }
-            removeNext();
+            removeNextKey();
         });
     });
 }
 
 void SnapshotWriter::listForRemoval(const QString &prefix,
-                                    std::function<void(const QList<KeyValue> &)> use)
+                                    std::function<void(const QList<KeyValue> &)> callback)
 {
-    m_platform.list(
-        prefix, m_guard.wrap([this, use = std::move(use)](const Result<QList<KeyValue>> &entries) {
-            if (entries.has_value())
-                use(entries.value());
-            else
-                m_busy = false;
-        }));
+    m_platform.list(prefix,
+                    m_guard.wrap([this, callback = std::move(callback)](
+                                     const Result<QList<KeyValue>> &entries) {
+                        if (entries.has_value())
+                            callback(entries.value());
+                        else
+                            m_busy = false;
+                    }));
 }
 
-void SnapshotWriter::removeNext()
+void SnapshotWriter::removeNextKey()
 {
-    if (m_removals.isEmpty()) {
+    if (m_keysToRemove.isEmpty()) {
         m_busy = false;
         return;
     }
-    const KeyValue entry = m_removals.takeFirst();
+    const KeyValue entry = m_keysToRemove.takeFirst();
     const auto removed = [this](const SwapResult &result) {
-        const bool answered =
+        const bool isAnswered =
             result.outcome == SwapOutcome::Swapped || result.outcome == SwapOutcome::Conflict;
-        if (!answered)
-            m_removals.clear();
-        removeNext();
+        if (!isAnswered)
+            m_keysToRemove.clear();
+        removeNextKey();
     };
     m_platform.remove(entry.key, entry.revision, m_guard.wrap(removed));
 }
--- a/src/configuration/SnapshotWriter.h
+++ b/src/configuration/SnapshotWriter.h
@@ -1,4 +1,3 @@
-// Defines SnapshotWriter, which writes snapshots of the document and trims older changes.
 #pragma once
 
 #include "configuration/ConfigurationLog.h"
@@ -15,16 +14,17 @@
 
 /// Changes between two snapshots.
 inline constexpr qint64 SnapshotInterval = 64;
-/// Largest part of a snapshot; the platform holds values up to 1 MB.
-inline constexpr qsizetype SnapshotPartSize = 500 * 1024;
+/// Maximum size of one part of a snapshot; values in the platform's service hold at most 1 MB.
+inline constexpr qsizetype MaxSnapshotPartBytes = 500 * 1024;
 
-/// @p document cut into parts of at most @p partSize bytes; one empty part if it is empty.
+/// @p document split into parts of at most @p partSize bytes; a single empty part if it is empty.
 /// Precondition: @p partSize is positive. Thread-safe.
 QList<QByteArray> snapshotParts(const QByteArray &document, qsizetype partSize);
 
-/// Writes the parts first and then swaps the base record to name them, so that a reader finds
-/// a whole snapshot at any moment. Keys that are of no use any more are removed one at a time.
-/// If it fails anywhere nothing is wrong: the next snapshot cleans up what is left.
+/// Writes snapshots of the document and trims older changes. The parts are written first, then the
+/// base record is replaced to name them, so that readers find a complete snapshot at any time.
+/// Obsolete keys are removed afterwards, one at a time. A failure at any step leaves a consistent
+/// log; the next snapshot removes the remaining keys.
 /// Thread safety: only from the thread of the key-value store.
 class SnapshotWriter
 {
@@ -37,24 +37,25 @@
 
     bool isBusy() const { return m_busy; }
 
-    /// Writes @p document of @p version, as UTF-8 JSON, as the successor of @p base.
-    /// Precondition: not busy; @p version is greater than that of the snapshot of @p base.
+    /// Writes @p document, UTF-8 JSON of version @p version, as the snapshot after the one named by
+    /// @p base. Precondition: not busy, and @p version is greater than `base.snapshotVersion`.
     void write(ConfigurationVersion version, const QByteArray &document, const LogBase &base);
 
 private:
     void writePart(int part);
     void swapBase();
-    void removeOld();
-    void listForRemoval(const QString &prefix, std::function<void(const QList<KeyValue> &)> use);
-    void removeNext();
+    void removeObsoleteKeys();
+    void listForRemoval(const QString &prefix,
+                        std::function<void(const QList<KeyValue> &)> callback);
+    void removeNextKey();
 
     KeyValueStore &m_platform;
     bool m_busy = false;
-    LogBase m_old;
-    LogBase m_new;
+    LogBase m_previousBase;
+    LogBase m_newBase;
     QList<QByteArray> m_parts;
-    QList<KeyValue> m_removals;
-    internal::LifeGuard m_guard;
+    QList<KeyValue> m_keysToRemove;
+    internal::CallbackGuard m_guard;
 };
 
 } // namespace cranberry
--- a/src/configuration/SpreadTree.cpp
+++ b/src/configuration/SpreadTree.cpp
@@ -4,22 +4,23 @@
 
 namespace cranberry {
 
-QList<VmId> spreadChildren(const QList<VmId> &members, const VmId &root, const VmId &self,
-                           int fanOut)
+QList<VmId> broadcastChildren(const QList<VmId> &members, const VmId &root, const VmId &self,
+                              int fanOut)
 {
-    QList<VmId> order = members;
-    std::sort(order.begin(), order.end());
-    const qsizetype rootAt = order.indexOf(root);
-    const qsizetype selfAt = order.indexOf(self);
-    if (rootAt < 0 || selfAt < 0)
+    QList<VmId> sortedMembers = members;
+    std::sort(sortedMembers.begin(), sortedMembers.end());
+    const qsizetype rootIndex = sortedMembers.indexOf(root);
+    const qsizetype selfIndex = sortedMembers.indexOf(self);
+    if (rootIndex < 0 || selfIndex < 0)
         return {};
-    const qsizetype count = order.size();
-    // Places are counted from the root on; the children of place p are p * fanOut + 1 and on.
-    const qsizetype place = (selfAt - rootAt + count) % count;
+    const qsizetype count = sortedMembers.size();
+    // Positions count from the root, in the order of ids. The children of position p are at
+    // p * fanOut + 1 to p * fanOut + fanOut.
+    const qsizetype position = (selfIndex - rootIndex + count) % count;
     QList<VmId> children;
-    const qsizetype first = place * fanOut + 1;
+    const qsizetype first = position * fanOut + 1;
     for (qsizetype child = first; child < std::min(first + fanOut, count); ++child)
-        children.append(order.at((rootAt + child) % count));
+        children.append(sortedMembers.at((rootIndex + child) % count));
     return children;
 }
 
--- a/src/configuration/SpreadTree.h
+++ b/src/configuration/SpreadTree.h
@@ -1,4 +1,3 @@
-// Defines the tree along which a change is passed on inside a data centre.
 #pragma once
 
 #include "base/Ids.h"
@@ -7,11 +6,11 @@
 
 namespace cranberry {
 
-/// Whom @p self passes a change on to that @p root, which heads the tree, has sent out: at most
-/// @p fanOut of @p members. If all have the same members, everyone but the root is passed the
-/// change exactly once. Empty if root or self is none of the members.
+/// Children of @p self in the tree along which a change from @p root is broadcast inside a data
+/// centre: at most @p fanOut of @p members. If all daemons have the same members, each member
+/// except the root is the child of exactly one other. Empty if @p root or @p self is not a member.
 /// Precondition: @p fanOut is positive. Thread-safe.
-QList<VmId> spreadChildren(const QList<VmId> &members, const VmId &root, const VmId &self,
-                           int fanOut);
+QList<VmId> broadcastChildren(const QList<VmId> &members, const VmId &root, const VmId &self,
+                              int fanOut);
 
 } // namespace cranberry
--- a/src/configuration/SubmitResult.h
+++ b/src/configuration/SubmitResult.h
@@ -1,4 +1,3 @@
-// Defines SubmitResult, what became of a submitted configuration document.
 #pragma once
 
 #include "base/Ids.h"
@@ -10,25 +9,26 @@
 namespace cranberry {
 
 enum class SubmitOutcome {
-    /// It is the version given in the result, and in force in this daemon.
+    /// The document has the version given in the result and is in force in this daemon.
     Accepted,
-    /// Another change took the version, or the expected version was not the present one.
+    /// Another change was accepted for the version, or the expected version is not the current one.
     VersionConflict,
-    /// The document has faults; nothing was written.
+    /// The document is not valid; nothing was written.
     Invalid,
-    /// Nothing was written, and nothing will be.
+    /// The platform did not accept the write. The change was not written and will not be.
     PlatformUnavailable,
-    /// The platform did not tell in time whether the change was accepted.
+    /// The platform did not confirm in time whether the change was accepted.
     Unsettled,
 };
 
+/// Result of the submission of a configuration document.
 struct SubmitResult {
     SubmitOutcome outcome = SubmitOutcome::PlatformUnavailable;
-    /// The accepted version, or else the highest known to this daemon.
+    /// The accepted version, or otherwise the highest version known to this daemon.
     ConfigurationVersion version;
-    /// Of an invalid document, all of them.
+    /// All faults of an invalid document.
     QList<ConfigurationFault> faults;
-    /// By which an unsettled change is known in the logs.
+    /// Id of the change in the logs, to identify an unsettled change; empty if none was sent.
     ChangeId change;
 };
 
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -157,7 +157,7 @@
     m_parts->configuration.onInForce(
         [this](const std::shared_ptr<const Configuration> &) { configurationInForce(); });
     m_parts->members.onVersionHeard([this](const VmId &from, ConfigurationVersion version) {
-        m_parts->spread.versionHeard(from, version);
+        m_parts->spread.onPeerVersion(from, version);
     });
     m_parts->gateway.setAttached(&m_parts->attached);
     m_parts->gateway.setOperatorHandler(
--- a/src/daemon/DaemonParts.h
+++ b/src/daemon/DaemonParts.h
@@ -44,7 +44,7 @@
     Result<quint16> peerPort;
     Membership members;
     ConfigurationStore configuration;
-    ConfigurationSpread spread;
+    ConfigurationPropagator spread;
     TargetTable targets;
     AdmissionQueue admission;
     CreditExchange credits;
--- a/src/orders/IssuerLease.h
+++ b/src/orders/IssuerLease.h
@@ -62,7 +62,7 @@
     const LeaseTimes m_times;
     std::optional<Holding> m_holding;
     std::unique_ptr<TimerSubscription> m_next;
-    internal::LifeGuard m_life;
+    internal::CallbackGuard m_life;
 };
 
 } // namespace cranberry
--- a/src/platformstore/HttpKeyValueStore.cpp
+++ b/src/platformstore/HttpKeyValueStore.cpp
@@ -18,7 +18,7 @@
 /// Added to the timeout of GET requests to allow for transferring large responses.
 constexpr Milliseconds TransferAllowance{10'000};
 
-Error unavailable(const QString &detail)
+Error platformUnavailable(const QString &detail)
 {
     Error error;
     error.kind = ErrorKind::PlatformUnavailable;
@@ -26,11 +26,11 @@
     return error;
 }
 
-Error unexpected(HttpExchangeEnd end, const HttpResponse &response)
+Error unexpectedAnswer(HttpExchangeEnd end, const HttpResponse &response)
 {
     if (end != HttpExchangeEnd::Complete)
-        return unavailable(QStringLiteral("the platform's service did not answer"));
-    return unavailable(
+        return platformUnavailable(QStringLiteral("the platform's service did not answer"));
+    return platformUnavailable(
         QStringLiteral("the platform's service answered with status %1").arg(response.status));
 }
 
@@ -59,12 +59,12 @@
 
 Result<KeyValue> readResult(const QString &key, HttpExchangeEnd end, const HttpResponse &response)
 {
-    const bool complete = end == HttpExchangeEnd::Complete;
-    if (complete && response.status == StatusNotFound)
+    const bool isComplete = end == HttpExchangeEnd::Complete;
+    if (isComplete && response.status == StatusNotFound)
         return KeyValue{key, {}, Revision(0)};
     const QJsonObject object = parsedObject(response);
-    if (!complete || response.status != StatusOk || !object["revision"].isDouble())
-        return unexpected(end, response);
+    if (!isComplete || response.status != StatusOk || !object["revision"].isDouble())
+        return unexpectedAnswer(end, response);
     return toKeyValue(object);
 }
 
@@ -73,7 +73,7 @@
     const QJsonObject object = parsedObject(response);
     if (end != HttpExchangeEnd::Complete || response.status != StatusOk
         || !object["entries"].isArray())
-        return unexpected(end, response);
+        return unexpectedAnswer(end, response);
     QList<KeyValue> entries;
     const QJsonArray array = object["entries"].toArray();
     for (const auto &entry : array)
@@ -81,13 +81,14 @@
     return entries;
 }
 
-// A write whose answer is lost may have taken effect, or may yet: its connection broke or its
-// time ran out after bytes had left, or something in between answered in the service's place
-// (5xx). Only "no byte left" and the service's own refusal (4xx) say that nothing was written.
+// A write without an answer from the service may have taken effect or may still do so: the
+// connection was lost or the call timed out after bytes were sent, or an intermediary answered in
+// place of the service (5xx). Only if no byte was sent, or the service itself refused the write
+// (4xx), is it certain that nothing was written.
 SwapResult swapResult(HttpExchangeEnd end, const HttpResponse &response)
 {
     if (end == HttpExchangeEnd::NotConnected)
-        return {SwapOutcome::NotDone, Revision(0)};
+        return {SwapOutcome::NotWritten, Revision(0)};
     if (end != HttpExchangeEnd::Complete)
         return {SwapOutcome::Unknown, Revision(0)};
     const QJsonValue revision = parsedObject(response)["revision"];
@@ -95,8 +96,8 @@
         return {SwapOutcome::Swapped, Revision(revision.toInteger())};
     if (response.status == StatusConflict)
         return {SwapOutcome::Conflict, Revision(revision.toInteger())};
-    const bool refused = response.status >= 400 && response.status < 500;
-    return {refused ? SwapOutcome::NotDone : SwapOutcome::Unknown, Revision(0)};
+    const bool isRefused = response.status >= 400 && response.status < 500;
+    return {isRefused ? SwapOutcome::NotWritten : SwapOutcome::Unknown, Revision(0)};
 }
 
 Result<LeaseId> leaseResult(HttpExchangeEnd end, const HttpResponse &response)
@@ -104,12 +105,12 @@
     if (end == HttpExchangeEnd::Complete && response.status == StatusNotFound) {
         Error error;
         error.kind = ErrorKind::OutcomeUnknown;
-        error.detail = QStringLiteral("the lease has lapsed");
+        error.detail = QStringLiteral("the lease has expired");
         return error;
     }
     const QJsonValue lease = parsedObject(response)["lease"];
     if (end != HttpExchangeEnd::Complete || response.status != StatusOk || !lease.isDouble())
-        return unexpected(end, response);
+        return unexpectedAnswer(end, response);
     return LeaseId(lease.toInteger());
 }
 
@@ -117,7 +118,7 @@
 {
     const QJsonObject object = parsedObject(response);
     if (end != HttpExchangeEnd::Complete || response.status != StatusOk || !object["vms"].isArray())
-        return unexpected(end, response);
+        return unexpectedAnswer(end, response);
     QList<ListedVm> vms;
     const QJsonArray array = object["vms"].toArray();
     for (const auto &value : array) {
@@ -150,7 +151,7 @@
 void HttpKeyValueStore::call(const HttpRequest &request, Milliseconds timeout,
                              AnswerCallback callback)
 {
-    const qint64 id = ++m_lastCall;
+    const qint64 id = ++m_lastCallId;
     HttpExchangeOptions options;
     options.stallTimeout = timeout;
     // Only responses to GET requests can be large; other calls keep the timeout as a total limit.
@@ -158,16 +159,16 @@
     options.connectTimeout = m_timeout;
     options.reuseConnection = true;
     m_calls[id].callback = std::move(callback);
-    // Queued: an exchange on a kept connection may end before fetch() has returned.
+    // Queued because an exchange on a reused connection may end before fetch() returns.
     m_calls[id].exchange = m_client.fetch(
         m_endpoint, request, options,
         [this, id](HttpExchangeEnd end, const HttpResponse &response) {
             QMetaObject::invokeMethod(
-                &m_context, [=] { finished(id, end, response); }, Qt::QueuedConnection);
+                &m_context, [=] { finishCall(id, end, response); }, Qt::QueuedConnection);
         });
 }
 
-void HttpKeyValueStore::finished(qint64 id, HttpExchangeEnd end, const HttpResponse &response)
+void HttpKeyValueStore::finishCall(qint64 id, HttpExchangeEnd end, const HttpResponse &response)
 {
     const AnswerCallback callback = std::move(m_calls.at(id).callback);
     m_calls.erase(id);
--- a/src/platformstore/HttpKeyValueStore.h
+++ b/src/platformstore/HttpKeyValueStore.h
@@ -1,4 +1,3 @@
-// Defines HttpKeyValueStore, the client of the platform's key-value service over HTTP.
 #pragma once
 
 #include "http/HttpClient.h"
@@ -10,8 +9,9 @@
 
 namespace cranberry {
 
-/// Speaks the protocol in docs/PROTOCOLS.md. Values must be UTF-8 text, as the service holds
-/// JSON strings; a write of other bytes is NotDone.
+/// Client of the platform's key-value service over HTTP, by the protocol in docs/PROTOCOLS.md.
+/// Values must be UTF-8 text, because the service stores JSON strings; a write of other bytes
+/// returns SwapOutcome::NotWritten.
 /// Thread safety: only from its own thread, in which an event loop runs.
 class HttpKeyValueStore final : public KeyValueStore
 {
@@ -19,8 +19,8 @@
     static constexpr Milliseconds DefaultTimeout{2000};
 
     /// @p timeout limits the total duration of writes and lease calls. For reads, lists and watches
-    /// it limits the time without data from the service, for watches in addition to the time they
-    /// wait.
+    /// it limits the time without data from the service; for watches, the timeout of the watch is
+    /// added.
     /// Precondition: @p timers outlives the store.
     HttpKeyValueStore(TimerService &timers, HttpEndpoint endpoint,
                       Milliseconds timeout = DefaultTimeout);
@@ -41,7 +41,7 @@
     using AnswerCallback = std::function<void(HttpExchangeEnd, const HttpResponse &)>;
 
     void call(const HttpRequest &request, Milliseconds timeout, AnswerCallback callback);
-    void finished(qint64 id, HttpExchangeEnd end, const HttpResponse &response);
+    void finishCall(qint64 id, HttpExchangeEnd end, const HttpResponse &response);
 
     struct Call {
         std::unique_ptr<HttpExchange> exchange;
@@ -52,8 +52,8 @@
     Milliseconds m_timeout;
     HttpClient m_client;
     std::map<qint64, Call> m_calls;
-    qint64 m_lastCall = 0;
-    /// Receiver of queued callbacks; its end drops those that are still queued.
+    qint64 m_lastCallId = 0;
+    /// Receiver of queued callbacks; its destruction discards those still queued.
     QObject m_context;
 };
 
--- a/src/platformstore/KeyValue.h
+++ b/src/platformstore/KeyValue.h
@@ -1,4 +1,3 @@
-// Defines the values and outcomes of the platform's key-value service.
 #pragma once
 
 #include "base/StrongNumber.h"
@@ -9,10 +8,11 @@
 
 namespace cranberry {
 
-/// Revision of a key; it grows with each write to the service. 0 means "absent".
+/// Revision of a key; it increases with each write to the service. 0 means that the key is absent.
 using Revision = StrongNumber<struct RevisionTag>;
 using LeaseId = StrongNumber<struct LeaseTag>;
 
+/// A key and its value in the platform's key-value service.
 struct KeyValue {
     QString key;
     QByteArray value;
@@ -20,25 +20,25 @@
     Revision revision;
 };
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 enum class SwapOutcome {
-    /// It took effect.
+    /// The write took effect.
     Swapped,
     /// The key had another revision; nothing was written.
     Conflict,
-    /// The request left and no answer came: it may have taken effect now or may later.
+    /// The request was sent but not answered: it may have taken effect or may still do so.
     Unknown,
-    /// It certainly did not take effect: no byte left, or the service refused.
-    NotDone,
+    /// The write did not take effect and will not: no byte was sent, or the service refused it.
+    NotWritten,
 };
 
 struct SwapResult {
-    SwapOutcome outcome = SwapOutcome::NotDone;
-    /// After Swapped the new revision, after Conflict the present one, else 0.
+    SwapOutcome outcome = SwapOutcome::NotWritten;
+    /// The new revision for Swapped, the current one for Conflict, otherwise 0.
     Revision revision;
 };
 
-/// One VM as the platform's list shows it, with the list's lag.
+/// A VM in the platform's list of VMs, which lags behind the actual state.
 struct ListedVm {
     QString vm;
     QString dataCentre;
--- a/src/platformstore/KeyValueStore.h
+++ b/src/platformstore/KeyValueStore.h
@@ -1,4 +1,3 @@
-// Defines KeyValueStore, the interface to the platform's key-value service.
 #pragma once
 
 #include "base/Result.h"
@@ -10,11 +9,11 @@
 
 namespace cranberry {
 
-/// The platform's service: compare-and-swap, leases, watches, the VM list. Each call, and a
-/// waiting watch, counts against the platform's rates, so callers batch and never poll by
-/// daemon and time.
-/// Every operation calls back exactly once, later, in the same thread, unless the store is
-/// destroyed before. Failed reads carry ErrorKind::PlatformUnavailable.
+/// Interface to the platform's key-value service: compare-and-swap, leases, watches and the list of
+/// VMs. Each call and each waiting watch counts against the rate limits of the platform, so callers
+/// batch their calls, and the daemons must not each poll periodically.
+/// Every operation calls its callback exactly once, asynchronously in the same thread, unless the
+/// store is destroyed first. Failed reads return ErrorKind::PlatformUnavailable.
 /// Thread safety: only from its own thread.
 class KeyValueStore
 {
@@ -27,30 +26,32 @@
 
     virtual ~KeyValueStore() = default;
 
-    /// Reads one key; an absent one has revision 0.
+    /// Reads one key; an absent key has revision 0.
     virtual void read(const QString &key, ReadCallback callback) = 0;
 
     /// Reads all keys that start with @p prefix, in key order.
     virtual void list(const QString &prefix, ListCallback callback) = 0;
 
-    /// Writes @p value if @p key has revision @p expected (0: if it is absent). With @p lease
-    /// the key vanishes when the lease ends.
+    /// Writes @p value if @p key has revision @p expected, where 0 means that it is absent. With
+    /// @p lease the key is removed when the lease ends.
     virtual void compareAndSwap(const QString &key, Revision expected, const QByteArray &value,
                                 std::optional<LeaseId> lease, SwapCallback callback) = 0;
 
     /// Removes @p key if it has revision @p expected.
     virtual void remove(const QString &key, Revision expected, SwapCallback callback) = 0;
 
-    /// Waits until a key under @p prefix has a revision over @p after, then hands over all such
-    /// keys; an empty list when @p timeout passes without one.
+    /// Waits until a key that starts with @p prefix has a revision greater than @p after, then
+    /// returns all such keys. Returns an empty list if there is none within @p timeout.
     virtual void watch(const QString &prefix, Revision after, Milliseconds timeout,
                        ListCallback callback) = 0;
 
+    /// Creates a lease that expires @p duration after it was granted or last renewed.
     virtual void grantLease(Milliseconds duration, LeaseCallback callback) = 0;
-    /// Error OutcomeUnknown: the lease has lapsed. Error PlatformUnavailable: no answer.
+    /// Renews @p lease. Error OutcomeUnknown: the lease has expired. Error PlatformUnavailable: the
+    /// service did not answer.
     virtual void renewLease(LeaseId lease, LeaseCallback callback) = 0;
 
-    /// The platform's list of VMs of the system; it lags.
+    /// Reads the platform's list of the VMs of the system, which lags behind the actual state.
     virtual void listVms(VmsCallback callback) = 0;
 };
 
--- a/test/correctness/ConfigurationSpread.cpp
+++ b/test/correctness/ConfigurationSpread.cpp
@@ -1,5 +1,5 @@
 // How daemons learn of accepted changes: watches, heartbeats and pulls.
-#define BOOST_TEST_MODULE ConfigurationSpread
+#define BOOST_TEST_MODULE ConfigurationPropagator
 #include <boost/test/unit_test.hpp>
 
 #include "configuration/SnapshotWriter.h"
@@ -64,13 +64,13 @@
         for (const VmId &root : members) {
             QList<VmId> reached{root};
             for (qsizetype i = 0; i < reached.size() && reached.size() <= count; ++i)
-                reached.append(spreadChildren(members, root, reached.at(i), 4));
+                reached.append(broadcastChildren(members, root, reached.at(i), 4));
             std::sort(reached.begin(), reached.end());
             std::sort(members.begin(), members.end());
             BOOST_CHECK(reached == members);
         }
     }
-    BOOST_TEST(spreadChildren({VmId("a")}, VmId("b"), VmId("a"), 4).isEmpty());
+    BOOST_TEST(broadcastChildren({VmId("a")}, VmId("b"), VmId("a"), 4).isEmpty());
 }
 
 BOOST_FIXTURE_TEST_CASE(ChangesReachEveryoneWithoutAHeartbeat, Fixture)
--- a/test/correctness/KeyValueService.cpp
+++ b/test/correctness/KeyValueService.cpp
@@ -73,7 +73,7 @@
 
 BOOST_FIXTURE_TEST_CASE(BytesThatAreNoTextAreNotWritten, Fixture)
 {
-    BOOST_CHECK(calls.swap("k", Revision(0), "\xff").outcome == SwapOutcome::NotDone);
+    BOOST_CHECK(calls.swap("k", Revision(0), "\xff").outcome == SwapOutcome::NotWritten);
     BOOST_CHECK(calls.read("k").value().revision == Revision(0));
 }
 
@@ -113,7 +113,7 @@
     const Result<LeaseId> renewed = calls.renewLease(brief);
     BOOST_REQUIRE(!renewed);
     BOOST_CHECK(renewed.error().kind == ErrorKind::OutcomeUnknown);
-    BOOST_CHECK(calls.swap("late", Revision(0), "x", brief).outcome == SwapOutcome::NotDone);
+    BOOST_CHECK(calls.swap("late", Revision(0), "x", brief).outcome == SwapOutcome::NotWritten);
 }
 
 BOOST_FIXTURE_TEST_CASE(VmListLags, Fixture)
--- a/test/failure/ConfigurationOutages.cpp
+++ b/test/failure/ConfigurationOutages.cpp
@@ -73,7 +73,7 @@
     cut.peers.isCut = true;
     SpreadDaemon &other = fleet[behind == 0 ? 1 : 0];
     BOOST_REQUIRE(other.daemon.submitMany(2));
-    cut.spread.versionHeard(other.members.selfId, ConfigurationVersion(2));
+    cut.spread.onPeerVersion(other.members.selfId, ConfigurationVersion(2));
     BOOST_REQUIRE(test::waitFor([&] { return cut.daemon.store.version().value() == 2; }));
 }
 
--- a/test/failure/PlatformAnswerLost.cpp
+++ b/test/failure/PlatformAnswerLost.cpp
@@ -68,6 +68,6 @@
     }
     HttpKeyValueStore unreachable(timers, {QStringLiteral("127.0.0.1"), closedPort});
     test::StoreCalls unreachableCalls(unreachable);
-    BOOST_CHECK(unreachableCalls.swap("k", Revision(0), "1").outcome == SwapOutcome::NotDone);
+    BOOST_CHECK(unreachableCalls.swap("k", Revision(0), "1").outcome == SwapOutcome::NotWritten);
     BOOST_CHECK(!unreachableCalls.read("k"));
 }
--- a/test/support/MemoryKeyValueStore.cpp
+++ b/test/support/MemoryKeyValueStore.cpp
@@ -70,7 +70,7 @@
                                       const std::function<void()> &effect)
 {
     if (isDown)
-        return {SwapOutcome::NotDone, {}};
+        return {SwapOutcome::NotWritten, {}};
     if (const auto before = std::exchange(beforeNextWrite, {}))
         before();
     if (loseRequests > 0) {
--- a/test/support/MemoryKeyValueStore.h
+++ b/test/support/MemoryKeyValueStore.h
@@ -43,7 +43,7 @@
     void renewLease(LeaseId lease, LeaseCallback callback) override;
     void listVms(VmsCallback callback) override;
 
-    /// While set, reads fail and writes are NotDone.
+    /// While set, reads fail and writes are NotWritten.
     bool isDown = false;
     /// The next so many writes take effect and are not answered.
     int loseAnswers = 0;
--- a/test/support/SpreadFleet.cpp
+++ b/test/support/SpreadFleet.cpp
@@ -51,7 +51,7 @@
     for (const auto &from : m_daemons) {
         for (const auto &to : m_daemons) {
             if (from != to && !from->peers.isCut && !to->peers.isCut)
-                to->spread.versionHeard(from->members.selfId, from->daemon.store.version());
+                to->spread.onPeerVersion(from->members.selfId, from->daemon.store.version());
         }
     }
 }
--- a/test/support/SpreadFleet.h
+++ b/test/support/SpreadFleet.h
@@ -28,7 +28,7 @@
     ConfigurationDaemon daemon;
     MemoryPeerNetwork peers;
     FixedMembers members;
-    ConfigurationSpread spread;
+    ConfigurationPropagator spread;
 };
 
 /// Daemons "vm0", "vm1", ... in turn in each of the data centres, all known to each other.
