--- a/src/claims/ClaimShard.h
+++ b/src/claims/ClaimShard.h
@@ -6,7 +6,7 @@
 #include "claims/ClaimSettings.h"
 #include "claims/GatherWindow.h"
 #include "claims/SegmentUpdate.h"
-#include "configuration/LifeGuard.h"
+#include "configuration/CallbackGuard.h"
 #include "platformstore/KeyValueStore.h"
 
 #include <functional>
--- a/src/configuration/SpreadTree.cpp
+++ b/src/configuration/BroadcastTree.cpp
@@ -1,4 +1,4 @@
-#include "configuration/SpreadTree.h"
+#include "configuration/BroadcastTree.h"
 
 #include <algorithm>
 
--- a/src/configuration/ChangeSubmission.h
+++ b/src/configuration/ChangeSubmission.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "configuration/CallbackGuard.h"
 #include "configuration/ConfigurationChange.h"
 #include "configuration/ConfigurationLog.h"
-#include "configuration/LifeGuard.h"
 
 #include <functional>
 #include <memory>
--- a/src/configuration/ConfigurationSpread.cpp
+++ b/src/configuration/ConfigurationPropagator.cpp
@@ -1,11 +1,11 @@
-#include "configuration/ConfigurationSpread.h"
+#include "configuration/ConfigurationPropagator.h"
 
 #include "base/EventLog.h"
 #include "base/TimerService.h"
 #include "base/TimerSubscription.h"
+#include "configuration/BroadcastTree.h"
 #include "configuration/ConfigurationStore.h"
 #include "configuration/SnapshotWriter.h"
-#include "configuration/SpreadTree.h"
 #include "membership/MemberView.h"
 #include "membership/RendezvousHash.h"
 #include "peer/PeerNetwork.h"
--- a/src/configuration/ConfigurationSpread.h
+++ b/src/configuration/ConfigurationPropagator.h
@@ -2,7 +2,7 @@
 
 #include "base/Ids.h"
 #include "base/Units.h"
-#include "configuration/LifeGuard.h"
+#include "configuration/CallbackGuard.h"
 #include "platformstore/KeyValue.h"
 
 #include <QByteArray>
--- a/src/configuration/LogReader.h
+++ b/src/configuration/LogReader.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "base/Result.h"
+#include "configuration/CallbackGuard.h"
 #include "configuration/ConfigurationLog.h"
-#include "configuration/LifeGuard.h"
 
 #include <QJsonObject>
 
--- a/src/configuration/SnapshotWriter.h
+++ b/src/configuration/SnapshotWriter.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "configuration/CallbackGuard.h"
 #include "configuration/ConfigurationLog.h"
-#include "configuration/LifeGuard.h"
 
 #include <QByteArray>
 #include <QList>
--- a/src/daemon/DaemonParts.h
+++ b/src/daemon/DaemonParts.h
@@ -8,7 +8,7 @@
 #include "base/TimerSubscription.h"
 #include "base/WorkerPool.h"
 #include "claims/ClaimStore.h"
-#include "configuration/ConfigurationSpread.h"
+#include "configuration/ConfigurationPropagator.h"
 #include "configuration/ConfigurationStore.h"
 #include "daemon/DaemonSettings.h"
 #include "daemon/Dispatcher.h"
--- a/src/orders/IssuerLease.h
+++ b/src/orders/IssuerLease.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/Ids.h"
-#include "configuration/LifeGuard.h"
+#include "configuration/CallbackGuard.h"
 #include "orders/LeaseTiming.h"
 #include "platformstore/KeyValueStore.h"
 
--- a/test/correctness/ConfigurationSpread.cpp
+++ b/test/correctness/ConfigurationPropagator.cpp
@@ -2,8 +2,8 @@
 #define BOOST_TEST_MODULE ConfigurationPropagator
 #include <boost/test/unit_test.hpp>
 
+#include "configuration/BroadcastTree.h"
 #include "configuration/SnapshotWriter.h"
-#include "configuration/SpreadTree.h"
 #include "support/EventLoop.h"
 #include "support/SpreadFleet.h"
 
--- a/test/support/SpreadFleet.h
+++ b/test/support/SpreadFleet.h
@@ -1,7 +1,7 @@
 // Defines SpreadFleet, the configuration parts of several daemons that hear of each other.
 #pragma once
 
-#include "configuration/ConfigurationSpread.h"
+#include "configuration/ConfigurationPropagator.h"
 #include "membership/MemberView.h"
 #include "support/ConfigurationDaemon.h"
 #include "support/MemoryPeerNetwork.h"
