--- a/src/claims/ClaimForwarder.h
+++ b/src/claims/ClaimForwarder.h
@@ -60,7 +60,7 @@
     std::map<AttemptId, PendingRequest> m_pendingRequests;
     /// By shard, the batch window that its coordinator reported last.
     std::array<Milliseconds, ClaimShardCount> m_windows{};
-    internal::LifeGuard m_life;
+    internal::CallbackGuard m_life;
 };
 
 } // namespace cranberry
--- a/src/claims/ClaimShard.cpp
+++ b/src/claims/ClaimShard.cpp
@@ -199,7 +199,7 @@
     if (isStored) {
         m_sealedRevision = result.revision;
         writeHead(update);
-    } else if (result.outcome == SwapOutcome::NotDone) {
+    } else if (result.outcome == SwapOutcome::NotWritten) {
         failRound();
     } else {
         scheduleRetry();
@@ -216,7 +216,7 @@
 
 void ClaimShard::onHeadWritten(const SegmentUpdate &update, const SwapResult &result)
 {
-    if (result.outcome == SwapOutcome::NotDone) {
+    if (result.outcome == SwapOutcome::NotWritten) {
         failRound();
         return;
     }
--- a/src/claims/ClaimShard.h
+++ b/src/claims/ClaimShard.h
@@ -5,7 +5,7 @@
 #include "claims/ClaimOperation.h"
 #include "claims/ClaimSettings.h"
 #include "claims/SegmentUpdate.h"
-#include "configuration/LifeGuard.h"
+#include "configuration/CallbackGuard.h"
 #include "platformstore/KeyValueStore.h"
 
 #include <functional>
@@ -103,7 +103,7 @@
     std::unique_ptr<TimerSubscription> m_windowTimer;
     std::unique_ptr<TimerSubscription> m_retryTimer;
     ClaimCounts m_counts;
-    internal::LifeGuard m_life;
+    internal::CallbackGuard m_life;
 };
 
 } // namespace cranberry
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -158,7 +158,7 @@
     m_parts->configuration.onInForce(
         [this](const std::shared_ptr<const Configuration> &) { applyConfiguration(); });
     m_parts->members.onNewerVersion([this](const VmId &from, ConfigurationVersion version) {
-        m_parts->spread.versionHeard(from, version);
+        m_parts->spread.onPeerVersion(from, version);
     });
     m_parts->gateway.setAttachClient(&m_parts->attachedAnswers);
     m_parts->gateway.setOperatorHandler(
--- a/src/daemon/DaemonParts.h
+++ b/src/daemon/DaemonParts.h
@@ -7,7 +7,7 @@
 #include "base/TimerSubscription.h"
 #include "base/WorkerPool.h"
 #include "claims/ClaimStore.h"
-#include "configuration/ConfigurationSpread.h"
+#include "configuration/ConfigurationPropagator.h"
 #include "configuration/ConfigurationStore.h"
 #include "daemon/DaemonSettings.h"
 #include "daemon/Dispatcher.h"
@@ -45,7 +45,7 @@
     Result<quint16> peerPort;
     Membership members;
     ConfigurationStore configuration;
-    ConfigurationSpread spread;
+    ConfigurationPropagator spread;
     TargetTable targets;
     AdmissionQueue admission;
     CreditExchange credits;
--- a/src/orders/IssuerLease.h
+++ b/src/orders/IssuerLease.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/Ids.h"
-#include "configuration/LifeGuard.h"
+#include "configuration/CallbackGuard.h"
 #include "orders/LeaseTiming.h"
 #include "platformstore/KeyValueStore.h"
 
@@ -62,7 +62,7 @@
     const LeaseTimes m_times;
     std::optional<HeldLease> m_heldLease;
     std::unique_ptr<TimerSubscription> m_nextAction;
-    internal::LifeGuard m_life;
+    internal::CallbackGuard m_life;
 };
 
 } // namespace cranberry
--- a/test/support/SpreadFleet.h
+++ b/test/support/SpreadFleet.h
@@ -1,7 +1,7 @@
 // Defines SpreadFleet, the configuration parts of several daemons that hear of each other.
 #pragma once
 
-#include "configuration/ConfigurationSpread.h"
+#include "configuration/ConfigurationPropagator.h"
 #include "membership/MemberView.h"
 #include "support/ConfigurationDaemon.h"
 #include "support/MemoryPeerNetwork.h"
@@ -28,7 +28,7 @@
     ConfigurationDaemon daemon;
     MemoryPeerNetwork peers;
     FixedMembers members;
-    ConfigurationSpread spread;
+    ConfigurationPropagator spread;
 };
 
 /// Daemons "vm0", "vm1", ... in turn in each of the data centres, all known to each other.
