--- a/apps/CranberryDaemon.cpp
+++ b/apps/CranberryDaemon.cpp
@@ -1,4 +1,3 @@
-// cranberryd: one entry VM of the system.
 #include "base/CrashReport.h"
 #include "daemon/Daemon.h"
 
@@ -14,25 +13,26 @@
 #include <unistd.h>
 
 DEFINE_string(settings, "", "path of the settings file (JSON); required");
-DEFINE_bool(check, false, "only check the settings file, then exit with 0 or 2");
+DEFINE_bool(check, false, "check the settings file and exit with 0 (valid) or 2 (invalid)");
 
 namespace {
 
-constexpr int ExitBadUse = 2;
+constexpr int ExitUsageError = 2;
 
 int signalPipe[2];
 
-void onTerminate(int)
+void handleTerminationSignal(int)
 {
-    // Only write() is safe here; the event loop does the rest.
+    // write() is async-signal-safe; the event loop starts the drain when it reads the byte.
     const char byte = 1;
     (void)!write(signalPipe[1], &byte, 1);
 }
 
-int complain(const QString &line)
+/// Prints @p line to stderr and returns the exit code for a usage or start error.
+int reportError(const QString &line)
 {
     std::fprintf(stderr, "cranberryd: %s\n", qPrintable(line));
-    return ExitBadUse;
+    return ExitUsageError;
 }
 
 cranberry::Result<cranberry::DaemonSettings> readSettings()
@@ -47,7 +47,7 @@
     return cranberry::parseSettings(file.readAll());
 }
 
-void initialiseLog(const char *program)
+void initialiseLogging(const char *program)
 {
     FLAGS_logtostderr = true;
     FLAGS_log_prefix = true;
@@ -62,22 +62,22 @@
     gflags::SetUsageMessage(
         "runs one entry VM of cranberryquay\n"
         "  cranberryd --settings FILE [--check]\n"
-        "SIGTERM drains: every request is finished first. Exit codes: 0 ended as asked,\n"
-        "2 bad flags or settings.");
+        "SIGTERM or SIGINT drains: the daemon completes every request before it exits.\n"
+        "Exit codes: 0 drained or settings valid; 2 invalid flags or settings, or start failed.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_settings.empty())
-        return complain(QStringLiteral("--settings FILE is required; see --help"));
+        return reportError(QStringLiteral("--settings FILE is required; see --help"));
     const auto settings = readSettings();
     if (!settings)
-        return complain(settings.error().detail);
+        return reportError(settings.error().detail);
     if (FLAGS_check)
         return 0;
-    initialiseLog(argv[0]);
+    initialiseLogging(argv[0]);
     cranberry::setLogLevel(settings.value().logLevel);
     QCoreApplication application(argc, argv);
     cranberry::Daemon daemon(settings.value());
     if (const auto started = daemon.start(); !started)
-        return complain(started.error().detail);
+        return reportError(started.error().detail);
 
     (void)!pipe(signalPipe);
     QSocketNotifier notifier(signalPipe[0], QSocketNotifier::Read);
@@ -85,8 +85,8 @@
         notifier.setEnabled(false);
         daemon.drain([] { QCoreApplication::quit(); });
     });
-    std::signal(SIGTERM, onTerminate);
-    std::signal(SIGINT, onTerminate);
+    std::signal(SIGTERM, handleTerminationSignal);
+    std::signal(SIGINT, handleTerminationSignal);
     std::fprintf(stderr, "ready gateway=%u peer=%u\n", daemon.gatewayPort(), daemon.peerPort());
     return QCoreApplication::exec();
 }
--- a/apps/ctl/Commands.cpp
+++ b/apps/ctl/Commands.cpp
@@ -28,7 +28,7 @@
     std::cout << line.toStdString() << '\n';
 }
 
-void complain(const QString &line)
+void printError(const QString &line)
 {
     std::cerr << "cranberryctl: " << line.toStdString() << '\n';
 }
@@ -38,35 +38,35 @@
     print(QString::fromUtf8(QJsonDocument(object).toJson(format)).trimmed());
 }
 
-/// The JSON object in @p path; complains and gives nothing if there is none.
+/// Reads the JSON object in @p path; prints an error and returns empty if there is none.
 std::optional<QJsonObject> readDocument(const QString &path)
 {
     QFile file(path);
     if (!file.open(QIODevice::ReadOnly)) {
-        complain(QStringLiteral("%1: %2").arg(path, file.errorString()));
+        printError(QStringLiteral("%1: %2").arg(path, file.errorString()));
         return std::nullopt;
     }
-    QJsonParseError fault;
-    const QJsonDocument document = QJsonDocument::fromJson(file.readAll(), &fault);
-    if (fault.error != QJsonParseError::NoError) {
-        complain(QStringLiteral("%1: not JSON at byte %2: %3")
-                     .arg(path)
-                     .arg(fault.offset)
-                     .arg(fault.errorString()));
+    QJsonParseError parseError;
+    const QJsonDocument document = QJsonDocument::fromJson(file.readAll(), &parseError);
+    if (parseError.error != QJsonParseError::NoError) {
+        printError(QStringLiteral("%1: not JSON at byte %2: %3")
+                       .arg(path)
+                       .arg(parseError.offset)
+                       .arg(parseError.errorString()));
         return std::nullopt;
     }
     if (!document.isObject()) {
-        complain(QStringLiteral("%1: expected a JSON object").arg(path));
+        printError(QStringLiteral("%1: expected a JSON object").arg(path));
         return std::nullopt;
     }
     return document.object();
 }
 
-QList<ConfigurationFault> faultsInProblem(const QJsonObject &problem)
+QList<ConfigurationFault> parseFaults(const QJsonObject &problem)
 {
     QList<ConfigurationFault> faults;
-    const QJsonArray list = problem[QLatin1String("faults")].toArray();
-    for (const auto &value : list) {
+    const QJsonArray faultArray = problem[QLatin1String("faults")].toArray();
+    for (const auto &value : faultArray) {
         const QJsonObject fault = value.toObject();
         faults.append(
             {fault[QLatin1String("path")].toString(), fault[QLatin1String("message")].toString()});
@@ -76,28 +76,29 @@
 
 ExitCode reportFaults(const QString &path, const QList<ConfigurationFault> &faults, bool json)
 {
-    QJsonArray list;
+    QJsonArray faultArray;
     for (const ConfigurationFault &fault : faults) {
-        list.append(QJsonObject{{"path", fault.path}, {"message", fault.message}});
+        faultArray.append(QJsonObject{{"path", fault.path}, {"message", fault.message}});
         if (!json)
             std::cerr << path.toStdString() << ": " << fault.text().toStdString() << '\n';
     }
     if (json)
-        printJson({{"valid", false}, {"faults", list}});
+        printJson({{"valid", false}, {"faults", faultArray}});
     else
-        complain(QStringLiteral("%1: %2 faults").arg(path).arg(faults.size()));
-    return ExitCode::Invalid;
+        printError(QStringLiteral("%1: %2 faults").arg(path).arg(faults.size()));
+    return ExitCode::InvalidDocument;
 }
 
-ExitCode reportRefusal(const HttpEndpoint &daemon, const OperatorAnswer &answer)
+ExitCode reportRequestFailure(const HttpEndpoint &daemon, const OperatorResponse &response)
 {
-    complain(QStringLiteral("%1:%2: %3").arg(daemon.address).arg(daemon.port).arg(answer.problem));
+    printError(
+        QStringLiteral("%1:%2: %3").arg(daemon.address).arg(daemon.port).arg(response.problem));
     return ExitCode::Refused;
 }
 
-qint64 versionOf(const OperatorAnswer &answer)
+qint64 parseVersion(const OperatorResponse &response)
 {
-    QByteArray etag = answer.headers.value("ETag");
+    QByteArray etag = response.headers.value("ETag");
     etag.replace('"', "");
     return etag.toLongLong();
 }
@@ -106,7 +107,7 @@
 {
     const std::optional<QJsonObject> document = readDocument(arguments.first());
     if (!document)
-        return ExitCode::WrongUse;
+        return ExitCode::UsageError;
     const QList<ConfigurationFault> faults = validateDocument(*document);
     if (!faults.isEmpty())
         return reportFaults(arguments.first(), faults, options.json);
@@ -114,41 +115,42 @@
         printJson({{"valid", true}, {"faults", QJsonArray()}});
     else
         print(QStringLiteral("%1: valid").arg(arguments.first()));
-    return ExitCode::Done;
+    return ExitCode::Success;
 }
 
-ExitCode reportRejection(const QString &path, const CommandOptions &options,
-                         const OperatorAnswer &answer)
+ExitCode reportApplyFailure(const QString &path, const CommandOptions &options,
+                            const OperatorResponse &response)
 {
-    switch (answer.status) {
+    switch (response.status) {
     case HttpUnprocessable:
-        return reportFaults(path, faultsInProblem(answer.body), options.json);
+        return reportFaults(path, parseFaults(response.body), options.json);
     case HttpPreconditionFailed: {
-        complain(answer.problem);
-        const QJsonArray changes = answer.body[QLatin1String("changes")].toArray();
+        printError(response.problem);
+        const QJsonArray changes = response.body[QLatin1String("changes")].toArray();
         for (const auto &change : changes)
             printJson(change.toObject());
         return ExitCode::Conflict;
     }
     case HttpConflict:
-        complain(answer.problem);
-        return ExitCode::Unsettled;
+        printError(response.problem);
+        return ExitCode::OutcomeUnknown;
     default:
-        return reportRefusal(options.daemons.first(), answer);
+        return reportRequestFailure(options.daemons.first(), response);
     }
 }
 
 ExitCode waitAndReport(OperatorClient &client, const CommandOptions &options, qint64 version)
 {
-    const QStringList behind = waitInForce(client, options.daemons, version, options.waitLimit);
-    if (behind.isEmpty()) {
+    const QStringList lagging =
+        waitUntilInForce(client, options.daemons, version, options.waitTimeout);
+    if (lagging.isEmpty()) {
         if (!options.json)
             print(QStringLiteral("version %1 is in force everywhere").arg(version));
-        return ExitCode::Done;
+        return ExitCode::Success;
     }
-    complain(QStringLiteral("version %1 is accepted, but not in force in time at: %2")
-                 .arg(version)
-                 .arg(behind.join(QLatin1String(", "))));
+    printError(QStringLiteral("version %1 is accepted, but not in force before the timeout at: %2")
+                   .arg(version)
+                   .arg(lagging.join(QLatin1String(", "))));
     return ExitCode::NotInForce;
 }
 
@@ -156,105 +158,107 @@
 {
     const std::optional<QJsonObject> document = readDocument(arguments.first());
     if (!document)
-        return ExitCode::WrongUse;
+        return ExitCode::UsageError;
     OperatorClient client(options.token);
     const HttpEndpoint &daemon = options.daemons.first();
-    qint64 expected = options.expectedVersion.value_or(0);
+    qint64 expectedVersion = options.expectedVersion.value_or(0);
     if (!options.expectedVersion) {
-        const OperatorAnswer present = client.get(daemon, "/v1/configuration");
-        if (!present.isSuccess())
-            return reportRefusal(daemon, present);
-        expected = versionOf(present);
+        const OperatorResponse current = client.get(daemon, "/v1/configuration");
+        if (!current.isSuccess())
+            return reportRequestFailure(daemon, current);
+        expectedVersion = parseVersion(current);
     }
-    const OperatorAnswer answer = client.put(daemon, expected, *document);
-    if (answer.status == 0) {
-        // The request may have arrived: it must not be called "not applied".
-        complain(QStringLiteral("%1; the change may be accepted, see `show`").arg(answer.problem));
-        return ExitCode::Unsettled;
+    const OperatorResponse response = client.putConfiguration(daemon, expectedVersion, *document);
+    if (response.status == 0) {
+        // Without a response, the daemon may still have received and accepted the request, so the
+        // change must not be reported as not applied.
+        printError(QStringLiteral("%1; the change may have been accepted, check with `show`")
+                       .arg(response.problem));
+        return ExitCode::OutcomeUnknown;
     }
-    if (!answer.isSuccess())
-        return reportRejection(arguments.first(), options, answer);
-    const qint64 version = versionOf(answer);
+    if (!response.isSuccess())
+        return reportApplyFailure(arguments.first(), options, response);
+    const qint64 version = parseVersion(response);
     if (options.json)
         printJson({{"version", version}});
     else
         print(QStringLiteral("accepted as version %1").arg(version));
-    return options.wait ? waitAndReport(client, options, version) : ExitCode::Done;
+    return options.wait ? waitAndReport(client, options, version) : ExitCode::Success;
 }
 
 ExitCode show(const QStringList &, const CommandOptions &options)
 {
     OperatorClient client(options.token);
-    const OperatorAnswer answer = client.get(options.daemons.first(), "/v1/configuration");
-    if (!answer.isSuccess())
-        return reportRefusal(options.daemons.first(), answer);
+    const OperatorResponse response = client.get(options.daemons.first(), "/v1/configuration");
+    if (!response.isSuccess())
+        return reportRequestFailure(options.daemons.first(), response);
     if (options.json) {
-        printJson({{"version", versionOf(answer)}, {"document", answer.body}});
+        printJson({{"version", parseVersion(response)}, {"document", response.body}});
     } else {
-        std::cerr << "version " << versionOf(answer) << '\n';
-        printJson(answer.body, QJsonDocument::Indented);
+        std::cerr << "version " << parseVersion(response) << '\n';
+        printJson(response.body, QJsonDocument::Indented);
     }
-    return ExitCode::Done;
+    return ExitCode::Success;
 }
 
 ExitCode diff(const QStringList &arguments, const CommandOptions &options)
 {
     const std::optional<QJsonObject> document = readDocument(arguments.first());
     if (!document)
-        return ExitCode::WrongUse;
+        return ExitCode::UsageError;
     OperatorClient client(options.token);
-    const OperatorAnswer present = client.get(options.daemons.first(), "/v1/configuration");
-    if (!present.isSuccess())
-        return reportRefusal(options.daemons.first(), present);
+    const OperatorResponse current = client.get(options.daemons.first(), "/v1/configuration");
+    if (!current.isSuccess())
+        return reportRequestFailure(options.daemons.first(), current);
     if (options.json) {
-        printJson({{"version", versionOf(present)},
-                   {"patch", mergePatchBetween(present.body, *document)}});
+        printJson({{"version", parseVersion(current)},
+                   {"patch", mergePatchBetween(current.body, *document)}});
     } else {
-        const QList<DocumentDifference> differences = differencesBetween(present.body, *document);
+        const QList<DocumentDifference> differences = differencesBetween(current.body, *document);
         for (const DocumentDifference &difference : differences)
             print(difference.text());
     }
-    return present.body == *document ? ExitCode::Done : ExitCode::Differs;
+    return current.body == *document ? ExitCode::Success : ExitCode::Differs;
 }
 
 ExitCode status(const QStringList &, const CommandOptions &options)
 {
     OperatorClient client(options.token);
-    const OperatorAnswer answer = client.get(options.daemons.first(), "/v1/status");
-    if (!answer.isSuccess())
-        return reportRefusal(options.daemons.first(), answer);
+    const OperatorResponse response = client.get(options.daemons.first(), "/v1/status");
+    if (!response.isSuccess())
+        return reportRequestFailure(options.daemons.first(), response);
     if (options.json)
-        printJson(answer.body);
+        printJson(response.body);
     else
-        print(statusText(answer.body));
-    return ExitCode::Done;
+        print(statusText(response.body));
+    return ExitCode::Success;
 }
 
 ExitCode targets(const QStringList &, const CommandOptions &options)
 {
     OperatorClient client(options.token);
-    const OperatorAnswer answer = client.get(options.daemons.first(), "/v1/status");
-    if (!answer.isSuccess())
-        return reportRefusal(options.daemons.first(), answer);
+    const OperatorResponse response = client.get(options.daemons.first(), "/v1/status");
+    if (!response.isSuccess())
+        return reportRequestFailure(options.daemons.first(), response);
     if (options.json)
-        printJson({{"targets", answer.body[QLatin1String("targets")]}});
+        printJson({{"targets", response.body[QLatin1String("targets")]}});
     else
-        print(targetsText(answer.body));
-    return ExitCode::Done;
+        print(targetsText(response.body));
+    return ExitCode::Success;
 }
 
-/// The log lines in @p path; complains and gives nothing if it cannot be read.
-std::optional<QList<LogLine>> readLog(const QString &path)
+/// Reads the log lines in @p path; prints an error and returns empty if it cannot be read.
+std::optional<QList<LogLine>> readLogFile(const QString &path)
 {
     QFile file(path);
     if (!file.open(QIODevice::ReadOnly)) {
-        complain(QStringLiteral("%1: %2").arg(path, file.errorString()));
+        printError(QStringLiteral("%1: %2").arg(path, file.errorString()));
         return std::nullopt;
     }
     QList<LogLine> lines;
     while (!file.atEnd()) {
         const QString text = QString::fromUtf8(file.readLine()).trimmed();
-        if (const std::optional<LogLine> line = readLogLine(text, path))
+        if (const std::optional<LogLine> line = parseLogLine(text, path))
             lines.append(*line);
     }
     return lines;
@@ -264,51 +268,54 @@
 {
     QList<LogLine> lines;
     for (const QString &path : arguments.mid(1)) {
-        const std::optional<QList<LogLine>> read = readLog(path);
-        if (!read)
-            return ExitCode::WrongUse;
-        lines += *read;
+        const std::optional<QList<LogLine>> fileLines = readLogFile(path);
+        if (!fileLines)
+            return ExitCode::UsageError;
+        lines += *fileLines;
     }
-    const RequestStory story = storyOf(arguments.first(), lines);
-    if (story.verdict.isEmpty()) {
-        complain(QStringLiteral("no line of these files has request=%1").arg(arguments.first()));
+    const RequestTrace trace = traceRequest(arguments.first(), lines);
+    if (trace.verdict.isEmpty()) {
+        printError(
+            QStringLiteral("no log line in these files has request=%1").arg(arguments.first()));
         return ExitCode::Differs;
     }
     if (options.json) {
-        QJsonArray texts;
-        for (const LogLine &line : story.lines)
-            texts.append(QJsonObject{{"file", line.file}, {"line", line.text}});
-        printJson({{"lines", texts}, {"verdict", QJsonArray::fromStringList(story.verdict)}});
-        return ExitCode::Done;
+        QJsonArray jsonLines;
+        for (const LogLine &line : trace.lines)
+            jsonLines.append(QJsonObject{{"file", line.file}, {"line", line.text}});
+        printJson({{"lines", jsonLines}, {"verdict", QJsonArray::fromStringList(trace.verdict)}});
+        return ExitCode::Success;
     }
-    for (const LogLine &line : story.lines)
+    for (const LogLine &line : trace.lines)
         print(QStringLiteral("%1: %2").arg(line.file, line.text));
-    for (const QString &sentence : story.verdict)
+    for (const QString &sentence : trace.verdict)
         print(sentence);
-    return ExitCode::Done;
+    return ExitCode::Success;
 }
 
 struct Command {
     const char *name;
-    const char *argument;
-    /// Words that must follow; more may if the last argument says so with dots.
-    qsizetype words;
+    const char *argumentSyntax;
+    /// Number of required arguments. More are accepted if argumentSyntax ends with "...".
+    qsizetype minArguments;
     const char *description;
-    bool asksDaemon;
+    bool needsDaemon;
     ExitCode (*run)(const QStringList &arguments, const CommandOptions &options);
 };
 
 constexpr std::array<Command, 7> Commands{{
-    {"validate", "FILE", 1, "check a document without a daemon and print all its faults", false,
+    {"validate", "FILE", 1, "validate a document without a daemon and print all its faults", false,
      validate},
-    {"apply", "FILE", 1, "make a document the next version; with --wait, wait for all daemons",
+    {"apply", "FILE", 1, "submit a document as the next version; with --wait, wait for all daemons",
      true, apply},
-    {"show", "", 0, "print the document, and its version to stderr", true, show},
-    {"diff", "FILE", 1, "print what applying a document would change", true, diff},
-    {"status", "", 0, "print daemons with their versions, and the quarantine", true, status},
-    {"targets", "", 0, "print targets with their memory and leaving marks", true, targets},
-    {"explain", "ID LOG...", 2, "print what logs of daemons say of a request, and why it ended",
-     false, explain},
+    {"show", "", 0, "print the current document, and its version to stderr", true, show},
+    {"diff", "FILE", 1, "print the changes that applying a document would make", true, diff},
+    {"status", "", 0, "print daemons with their configuration versions, and the quarantine list",
+     true, status},
+    {"targets", "", 0, "print targets with their memory use and whether they are leaving", true,
+     targets},
+    {"explain", "ID LOG...", 2, "print the log lines of a request and why it ended", false,
+     explain},
 }};
 
 } // namespace
@@ -318,36 +325,40 @@
     QString text;
     for (const Command &command : Commands) {
         const QString call =
-            QString(QLatin1String(command.name) + ' ' + QLatin1String(command.argument));
+            QString(QLatin1String(command.name) + ' ' + QLatin1String(command.argumentSyntax));
         text += QStringLiteral("  %1  %2\n").arg(call, -14).arg(QLatin1String(command.description));
     }
     return text;
 }
 
-ExitCode runCommand(const QStringList &words, const CommandOptions &options)
+ExitCode runCommand(const QStringList &arguments, const CommandOptions &options)
 {
-    if (words.isEmpty()) {
-        complain(QLatin1String("no command given, see --help"));
-        return ExitCode::WrongUse;
+    if (arguments.isEmpty()) {
+        printError(QLatin1String("no command given; see --help"));
+        return ExitCode::UsageError;
     }
     for (const Command &command : Commands) {
-        if (words.first() != QLatin1String(command.name))
+        if (arguments.first() != QLatin1String(command.name))
             continue;
-        const bool takesMore = QLatin1String(command.argument).endsWith(QLatin1String("..."));
-        const qsizetype given = words.size() - 1;
-        if (given < command.words || (given > command.words && !takesMore)) {
-            complain(QStringLiteral("usage: cranberryctl %1 %2")
-                         .arg(QLatin1String(command.name), QLatin1String(command.argument)));
-            return ExitCode::WrongUse;
+        const bool isVariadic =
+            QLatin1String(command.argumentSyntax).endsWith(QLatin1String("..."));
+        const qsizetype argumentCount = arguments.size() - 1;
+        if (argumentCount < command.minArguments
+            || (argumentCount > command.minArguments && !isVariadic)) {
+            printError(
+                QStringLiteral("usage: cranberryctl %1 %2")
+                    .arg(QLatin1String(command.name), QLatin1String(command.argumentSyntax)));
+            return ExitCode::UsageError;
         }
-        if (command.asksDaemon && options.token.isEmpty()) {
-            complain(QLatin1String("--token_file names no readable file with the operator token"));
-            return ExitCode::WrongUse;
+        if (command.needsDaemon && options.token.isEmpty()) {
+            printError(
+                QLatin1String("--token_file: expected a readable file with the operator token"));
+            return ExitCode::UsageError;
         }
-        return command.run(words.mid(1), options);
+        return command.run(arguments.mid(1), options);
     }
-    complain(QStringLiteral("unknown command \"%1\", see --help").arg(words.first()));
-    return ExitCode::WrongUse;
+    printError(QStringLiteral("unknown command \"%1\"; see --help").arg(arguments.first()));
+    return ExitCode::UsageError;
 }
 
 } // namespace cranberry::ctl
--- a/apps/ctl/Commands.h
+++ b/apps/ctl/Commands.h
@@ -1,4 +1,3 @@
-// Defines the commands of cranberryctl.
 #pragma once
 
 #include "base/Units.h"
@@ -14,22 +13,26 @@
 
 namespace cranberry::ctl {
 
+/// Flags of cranberryctl that its commands use.
 struct CommandOptions {
-    /// The first is asked; `apply --wait` asks all if there are several.
+    /// Commands contact the first daemon; `apply --wait` polls all of them if several are given.
     QList<HttpEndpoint> daemons;
+    /// The operator token; empty if none was read.
     QByteArray token;
     bool json = false;
     bool wait = false;
-    Milliseconds waitLimit{30'000};
-    /// The version that the file was made from; the present one if it is not given.
+    /// Timeout of `apply --wait`.
+    Milliseconds waitTimeout{30'000};
+    /// The configuration version that the file is based on; the current version if empty.
     std::optional<qint64> expectedVersion;
 };
 
-/// Names and one-line descriptions of all commands, for the help.
+/// Names and one-line descriptions of all commands, for the text of --help. Thread-safe.
 QString commandList();
 
-/// Runs @p words, a command and its arguments; prints the outcome to stdout and what is wrong
-/// to stderr. Precondition: a QCoreApplication exists and its event loop does not run.
-ExitCode runCommand(const QStringList &words, const CommandOptions &options);
+/// Runs the command named by the first of @p arguments with the remaining ones; prints the result
+/// to stdout and errors to stderr.
+/// Precondition: a QCoreApplication exists and its event loop is not running.
+ExitCode runCommand(const QStringList &arguments, const CommandOptions &options);
 
 } // namespace cranberry::ctl
--- a/apps/ctl/DocumentDifference.cpp
+++ b/apps/ctl/DocumentDifference.cpp
@@ -9,29 +9,29 @@
 
 namespace {
 
-QString shown(const QJsonValue &value)
+QString toCompactJson(const QJsonValue &value)
 {
-    const QByteArray inList = QJsonDocument(QJsonArray{value}).toJson(QJsonDocument::Compact);
-    return QString::fromUtf8(inList.mid(1, inList.size() - 2));
+    const QByteArray array = QJsonDocument(QJsonArray{value}).toJson(QJsonDocument::Compact);
+    return QString::fromUtf8(array.mid(1, array.size() - 2));
 }
 
-void append(const QString &path, const QJsonObject &before, const QJsonObject &after,
-            QList<DocumentDifference> &found)
+void appendDifferences(const QString &path, const QJsonObject &before, const QJsonObject &after,
+                       QList<DocumentDifference> &differences)
 {
     const QStringList beforeNames = before.keys();
     const QStringList afterNames = after.keys();
     std::set<QString> names(beforeNames.begin(), beforeNames.end());
     names.insert(afterNames.begin(), afterNames.end());
     for (const QString &name : names) {
-        const QString inside = path.isEmpty() ? name : path + '.' + name;
-        const QJsonValue a = before.value(name);
-        const QJsonValue b = after.value(name);
-        if (a == b)
+        const QString memberPath = path.isEmpty() ? name : path + '.' + name;
+        const QJsonValue oldValue = before.value(name);
+        const QJsonValue newValue = after.value(name);
+        if (oldValue == newValue)
             continue;
-        if (a.isObject() && b.isObject())
-            append(inside, a.toObject(), b.toObject(), found);
+        if (oldValue.isObject() && newValue.isObject())
+            appendDifferences(memberPath, oldValue.toObject(), newValue.toObject(), differences);
         else
-            found.append({inside, a, b});
+            differences.append({memberPath, oldValue, newValue});
     }
 }
 
@@ -40,17 +40,17 @@
 QString DocumentDifference::text() const
 {
     if (before.isUndefined())
-        return QStringLiteral("+ %1: %2").arg(path, shown(after));
+        return QStringLiteral("+ %1: %2").arg(path, toCompactJson(after));
     if (after.isUndefined())
-        return QStringLiteral("- %1: %2").arg(path, shown(before));
-    return QStringLiteral("~ %1: %2 -> %3").arg(path, shown(before), shown(after));
+        return QStringLiteral("- %1: %2").arg(path, toCompactJson(before));
+    return QStringLiteral("~ %1: %2 -> %3").arg(path, toCompactJson(before), toCompactJson(after));
 }
 
 QList<DocumentDifference> differencesBetween(const QJsonObject &before, const QJsonObject &after)
 {
-    QList<DocumentDifference> found;
-    append({}, before, after, found);
-    return found;
+    QList<DocumentDifference> differences;
+    appendDifferences({}, before, after, differences);
+    return differences;
 }
 
 } // namespace cranberry::ctl
--- a/apps/ctl/DocumentDifference.h
+++ b/apps/ctl/DocumentDifference.h
@@ -1,4 +1,3 @@
-// Defines the difference of two configuration documents, as an operator reads it.
 #pragma once
 
 #include <QJsonObject>
@@ -7,18 +6,21 @@
 
 namespace cranberry::ctl {
 
-/// One value that differs; undefined on the side that does not have it.
+/// One value that differs between two configuration documents. It is undefined on the side that
+/// lacks it.
 struct DocumentDifference {
+    /// Member names from the root, separated by dots.
     QString path;
     QJsonValue before;
     QJsonValue after;
 
-    /// "+ path: value", "- path: value" or "~ path: before -> after".
+    /// Formats the difference as "+ path: value", "- path: value" or "~ path: before -> after".
+    /// Thread-safe.
     QString text() const;
 };
 
-/// The differences in the order of their paths; a part that is new or gone is one.
-/// Thread-safe.
+/// Returns the differences in the order of their paths. An object that was added or removed counts
+/// as one difference. Thread-safe.
 QList<DocumentDifference> differencesBetween(const QJsonObject &before, const QJsonObject &after);
 
 } // namespace cranberry::ctl
--- a/apps/ctl/ExitCode.h
+++ b/apps/ctl/ExitCode.h
@@ -1,24 +1,25 @@
-// Defines ExitCode, by which scripts tell what became of a call of cranberryctl.
 #pragma once
 
 namespace cranberry::ctl {
 
+/// Exit codes of cranberryctl, which scripts use to tell the outcome of a command.
 enum class ExitCode {
-    Done = 0,
-    /// `diff` found differences, `explain` no line of the request. The flag library ends with the
-    /// same code on unknown flags.
+    Success = 0,
+    /// `diff` found differences, or `explain` found no log line of the request. gflags exits with
+    /// the same code on an unknown flag.
     Differs = 1,
     /// Unknown command, missing argument, unreadable file.
-    WrongUse = 2,
-    /// The document has faults.
-    Invalid = 3,
-    /// The configuration has changed meanwhile; nothing was applied.
+    UsageError = 2,
+    /// The document does not pass validation.
+    InvalidDocument = 3,
+    /// The current version is not the expected one; nothing was applied.
     Conflict = 4,
-    /// A daemon could not be reached or refused the request; nothing was applied.
+    /// A daemon was unreachable or refused the request; nothing was applied.
     Refused = 5,
-    /// The change may have been accepted.
-    Unsettled = 6,
-    /// Accepted, but not in force at every live daemon in time.
+    /// The change may have been accepted: no response arrived, or the daemon reported a
+    /// conflict (HTTP 409).
+    OutcomeUnknown = 6,
+    /// Accepted, but not in force at every live daemon before the timeout.
     NotInForce = 7,
 };
 
--- a/apps/ctl/InForceWait.cpp
+++ b/apps/ctl/InForceWait.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned long PollIntervalMs = 200;
 
-QString behind(const QString &name, const QJsonValue &version)
+QString describeLagging(const QString &name, const QJsonValue &version)
 {
     const QString reported =
         version.isDouble() ? QString::number(version.toInteger()) : QStringLiteral("none");
@@ -25,54 +25,54 @@
     return state != QLatin1String("dead") && state != QLatin1String("leaving");
 }
 
-QStringList daemonsBehind(OperatorClient &client, const QList<HttpEndpoint> &daemons,
-                          qint64 version)
+QStringList laggingDaemons(OperatorClient &client, const QList<HttpEndpoint> &daemons,
+                           qint64 version)
 {
-    QStringList names;
+    QStringList lagging;
     for (const HttpEndpoint &daemon : daemons) {
         const QString address = QStringLiteral("%1:%2").arg(daemon.address).arg(daemon.port);
-        const OperatorAnswer answer = client.get(daemon, "/v1/status");
-        if (!answer.isSuccess()) {
-            names.append(QStringLiteral("%1 (%2)").arg(address, answer.problem));
+        const OperatorResponse response = client.get(daemon, "/v1/status");
+        if (!response.isSuccess()) {
+            lagging.append(QStringLiteral("%1 (%2)").arg(address, response.problem));
             continue;
         }
-        const QJsonValue inForce = answer.body[QLatin1String("configuration_version")];
-        const QString vm = answer.body[QLatin1String("vm")].toString();
+        const QJsonValue inForce = response.body[QLatin1String("configuration_version")];
+        const QString vm = response.body[QLatin1String("vm")].toString();
         if (!inForce.isDouble() || inForce.toInteger() < version)
-            names.append(behind(vm + " at " + address, inForce));
+            lagging.append(describeLagging(vm + " at " + address, inForce));
         else if (daemons.size() == 1)
-            names.append(membersBehind(answer.body, version));
+            lagging.append(laggingMembers(response.body, version));
     }
-    return names;
+    return lagging;
 }
 
 } // namespace
 
-QStringList membersBehind(const QJsonObject &status, qint64 version)
+QStringList laggingMembers(const QJsonObject &status, qint64 version)
 {
-    QStringList names;
+    QStringList lagging;
     const QJsonArray members = status[QLatin1String("members")].toArray();
     for (const auto &value : members) {
         const QJsonObject member = value.toObject();
         const QString vm = member[QLatin1String("vm")].toString();
         const QJsonValue reported = member[QLatin1String("configuration_version")];
         const bool isSelf = vm == status[QLatin1String("vm")].toString();
-        const bool isBehind = !reported.isDouble() || reported.toInteger() < version;
-        if (!isSelf && isLive(member) && isBehind)
-            names.append(behind(vm, reported));
+        const bool isLagging = !reported.isDouble() || reported.toInteger() < version;
+        if (!isSelf && isLive(member) && isLagging)
+            lagging.append(describeLagging(vm, reported));
     }
-    return names;
+    return lagging;
 }
 
-QStringList waitInForce(OperatorClient &client, const QList<HttpEndpoint> &daemons, qint64 version,
-                        Milliseconds limit)
+QStringList waitUntilInForce(OperatorClient &client, const QList<HttpEndpoint> &daemons,
+                             qint64 version, Milliseconds timeout)
 {
     QElapsedTimer elapsed;
     elapsed.start();
     while (true) {
-        QStringList names = daemonsBehind(client, daemons, version);
-        if (names.isEmpty() || elapsed.elapsed() >= limit.count())
-            return names;
+        QStringList lagging = laggingDaemons(client, daemons, version);
+        if (lagging.isEmpty() || elapsed.elapsed() >= timeout.count())
+            return lagging;
         QThread::msleep(PollIntervalMs);
     }
 }
--- a/apps/ctl/InForceWait.h
+++ b/apps/ctl/InForceWait.h
@@ -1,4 +1,3 @@
-// Defines the wait until a version is in force at every live daemon.
 #pragma once
 
 #include "base/Units.h"
@@ -12,14 +11,16 @@
 
 class OperatorClient;
 
-/// Asks until every live daemon reports @p version or @p limit has passed, and returns those
-/// that do not, each with what it reports; empty if all do. With one daemon in @p daemons, the
-/// members that it knows are the live daemons; with several, just those are asked.
-QStringList waitInForce(OperatorClient &client, const QList<HttpEndpoint> &daemons, qint64 version,
-                        Milliseconds limit);
+/// Polls until every live daemon reports @p version as in force or @p timeout has passed. Returns
+/// the daemons that do not report it, each with the version or error that it does report; empty
+/// if all do. If @p daemons holds a single daemon, its live members are checked through its
+/// status; if it holds several, exactly those are checked. Blocks the calling thread.
+QStringList waitUntilInForce(OperatorClient &client, const QList<HttpEndpoint> &daemons,
+                             qint64 version, Milliseconds timeout);
 
-/// Of the answer to /v1/status, the live members that do not report @p version yet.
+/// Returns the live members in @p status, a response to /v1/status, that do not report @p version
+/// yet. The daemon that sent the response is left out.
 /// Thread-safe.
-QStringList membersBehind(const QJsonObject &status, qint64 version);
+QStringList laggingMembers(const QJsonObject &status, qint64 version);
 
 } // namespace cranberry::ctl
--- a/apps/ctl/LogLine.cpp
+++ b/apps/ctl/LogLine.cpp
@@ -4,7 +4,7 @@
 
 namespace cranberry::ctl {
 
-std::optional<LogLine> readLogLine(const QString &text, const QString &file)
+std::optional<LogLine> parseLogLine(const QString &text, const QString &file)
 {
     static const QRegularExpression field(QStringLiteral(R"re((\w+)=("(?:[^"\\]|\\.)*"|\S*))re"));
     LogLine line;
--- a/apps/ctl/LogLine.h
+++ b/apps/ctl/LogLine.h
@@ -1,4 +1,3 @@
-// Defines LogLine, one structured line that a daemon wrote.
 #pragma once
 
 #include <QHash>
@@ -8,18 +7,22 @@
 
 namespace cranberry::ctl {
 
+/// One structured log line of a daemon.
 struct LogLine {
-    /// ISO 8601 in UTC, as it was written; sorts by time.
+    /// ISO 8601 in UTC, as written by the daemon; the string order is the time order.
     QString time;
-    /// Where the line was read.
+    /// Path of the file that holds the line.
     QString file;
+    /// Name of the event.
     QString name;
     QHash<QString, QString> fields;
+    /// The whole line.
     QString text;
 };
 
-/// Reads a line of the form "time=... event=... name=... key=value ..."; empty if it is none.
+/// Parses a line of the form "time=... event=... name=... key=value ..."; returns empty if it has
+/// no time or no name.
 /// Thread-safe.
-std::optional<LogLine> readLogLine(const QString &text, const QString &file);
+std::optional<LogLine> parseLogLine(const QString &text, const QString &file);
 
 } // namespace cranberry::ctl
--- a/apps/ctl/OperatorClient.cpp
+++ b/apps/ctl/OperatorClient.cpp
@@ -9,17 +9,17 @@
 
 constexpr Milliseconds CallTimeout{15'000};
 
-QString reasonOf(HttpExchangeEnd end)
+QString describeFailure(HttpExchangeEnd end)
 {
     switch (end) {
     case HttpExchangeEnd::NotConnected:
         return QStringLiteral("no connection");
     case HttpExchangeEnd::Broken:
-        return QStringLiteral("the connection broke before the answer was whole");
+        return QStringLiteral("the connection closed before the response was complete");
     case HttpExchangeEnd::Malformed:
-        return QStringLiteral("the answer is not HTTP");
+        return QStringLiteral("the response is not valid HTTP");
     case HttpExchangeEnd::TimedOut:
-        return QStringLiteral("no answer in time");
+        return QStringLiteral("the request timed out");
     case HttpExchangeEnd::Complete:
         break;
     }
@@ -28,17 +28,18 @@
 
 } // namespace
 
-OperatorAnswer OperatorClient::get(const HttpEndpoint &daemon, const QByteArray &path)
+OperatorResponse OperatorClient::get(const HttpEndpoint &daemon, const QByteArray &path)
 {
     return call(daemon, {"GET", path, {}, {{"Authorization", "Bearer " + m_token}}, {}});
 }
 
-OperatorAnswer OperatorClient::put(const HttpEndpoint &daemon, qint64 expected,
-                                   const QJsonObject &document)
+OperatorResponse OperatorClient::putConfiguration(const HttpEndpoint &daemon,
+                                                  qint64 expectedVersion,
+                                                  const QJsonObject &document)
 {
     const HttpHeaders headers{{"Authorization", "Bearer " + m_token},
                               {"Content-Type", "application/json"},
-                              {"If-Match", '"' + QByteArray::number(expected) + '"'}};
+                              {"If-Match", '"' + QByteArray::number(expectedVersion) + '"'}};
     return call(daemon,
                 {"PUT",
                  "/v1/configuration",
@@ -47,29 +48,29 @@
                  QJsonDocument(document).toJson(QJsonDocument::Compact)});
 }
 
-OperatorAnswer OperatorClient::call(const HttpEndpoint &daemon, const HttpRequest &request)
+OperatorResponse OperatorClient::call(const HttpEndpoint &daemon, const HttpRequest &request)
 {
-    OperatorAnswer answer;
+    OperatorResponse result;
     HttpExchangeOptions options;
     options.timeout = CallTimeout;
     QEventLoop loop;
     const auto exchange = m_client.fetch(
         daemon, request, options, [&](HttpExchangeEnd end, const HttpResponse &response) {
             if (end == HttpExchangeEnd::Complete) {
-                answer.status = response.status;
-                answer.headers = response.headers;
-                answer.body = QJsonDocument::fromJson(response.body).object();
+                result.status = response.status;
+                result.headers = response.headers;
+                result.body = QJsonDocument::fromJson(response.body).object();
             } else {
-                answer.problem = reasonOf(end);
+                result.problem = describeFailure(end);
             }
             loop.quit();
         });
     loop.exec();
-    if (answer.status != 0 && !answer.isSuccess()) {
-        const QString detail = answer.body.value(QLatin1String("detail")).toString();
-        answer.problem = QStringLiteral("HTTP %1: %2").arg(answer.status).arg(detail);
+    if (result.status != 0 && !result.isSuccess()) {
+        const QString detail = result.body.value(QLatin1String("detail")).toString();
+        result.problem = QStringLiteral("HTTP %1: %2").arg(result.status).arg(detail);
     }
-    return answer;
+    return result;
 }
 
 } // namespace cranberry::ctl
--- a/apps/ctl/OperatorClient.h
+++ b/apps/ctl/OperatorClient.h
@@ -1,4 +1,3 @@
-// Defines OperatorClient, the operators' paths of daemons as calls that wait.
 #pragma once
 
 #include "base/QtTimerService.h"
@@ -8,34 +7,37 @@
 
 namespace cranberry::ctl {
 
-/// What a daemon answered.
-struct OperatorAnswer {
-    /// 0 if no answer came.
+/// The response of a daemon to one request, or the reason why there is none.
+struct OperatorResponse {
+    /// HTTP status; 0 if no response arrived.
     int status = 0;
     HttpHeaders headers;
     QJsonObject body;
-    /// Why no answer came, or what the daemon said against the request; else empty.
+    /// Why no response arrived, or the error that the daemon reported; empty on success.
     QString problem;
 
     bool isSuccess() const { return status == 200; }
 };
 
-/// Thread safety: only from one thread, without an event loop running outside.
+/// Sends requests to the operator API of daemons and blocks until each one ends.
+/// Thread safety: only from one thread, outside any running event loop.
 class OperatorClient
 {
 public:
-    /// @p token goes into the Authorization header of each call.
+    /// @p token is sent as bearer token in the Authorization header of each request.
     explicit OperatorClient(QByteArray token)
         : m_token(std::move(token))
     {
     }
 
-    OperatorAnswer get(const HttpEndpoint &daemon, const QByteArray &path);
-    /// Submits @p document as the successor of @p expected.
-    OperatorAnswer put(const HttpEndpoint &daemon, qint64 expected, const QJsonObject &document);
+    /// Sends GET @p path to @p daemon.
+    OperatorResponse get(const HttpEndpoint &daemon, const QByteArray &path);
+    /// Submits @p document as the version that follows @p expectedVersion.
+    OperatorResponse putConfiguration(const HttpEndpoint &daemon, qint64 expectedVersion,
+                                      const QJsonObject &document);
 
 private:
-    OperatorAnswer call(const HttpEndpoint &daemon, const HttpRequest &request);
+    OperatorResponse call(const HttpEndpoint &daemon, const HttpRequest &request);
 
     const QByteArray m_token;
     QtTimerService m_timers;
--- a/apps/ctl/RequestStory.cpp
+++ b/apps/ctl/RequestStory.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// What the lines of the request alone name.
-struct Involved {
+/// The targets, log files and time span that the lines of a request name.
+struct RequestScope {
     QSet<QString> targets;
     QSet<QString> files;
-    QString first;
-    QString last;
+    QString firstTime;
+    QString lastTime;
 };
 
 QString field(const LogLine &line, const char *key)
@@ -22,34 +22,35 @@
     return line.fields.value(QLatin1String(key));
 }
 
-Involved involvedIn(const QList<LogLine> &own)
+RequestScope scopeOf(const QList<LogLine> &requestLines)
 {
-    Involved involved;
-    involved.first = own.first().time;
-    involved.last = own.last().time;
-    for (const LogLine &line : own) {
-        involved.files.insert(line.file);
+    RequestScope scope;
+    scope.firstTime = requestLines.first().time;
+    scope.lastTime = requestLines.last().time;
+    for (const LogLine &line : requestLines) {
+        scope.files.insert(line.file);
         for (const char *key : {"target", "source", "destination"}) {
             if (!field(line, key).isEmpty())
-                involved.targets.insert(field(line, key));
+                scope.targets.insert(field(line, key));
         }
     }
-    return involved;
+    return scope;
 }
 
-/// Lines without the request's id that explain its own: what became of its targets, and whether
-/// its daemon knew the platform's state.
-bool explains(const LogLine &line, const Involved &involved)
+/// True for a line without the id of the request that helps to explain it: an event of one of its
+/// targets while it ran, or a platform or evacuation event up to its end, in the log of one of its
+/// daemons.
+bool isRelevant(const LogLine &line, const RequestScope &scope)
 {
-    if (line.time > involved.last || !involved.files.contains(line.file))
+    if (line.time > scope.lastTime || !scope.files.contains(line.file))
         return false;
     if (line.name.startsWith(QLatin1String("target.")))
-        return involved.targets.contains(field(line, "target")) && line.time >= involved.first;
+        return scope.targets.contains(field(line, "target")) && line.time >= scope.firstTime;
     return line.name.startsWith(QLatin1String("platform."))
         || line.name.startsWith(QLatin1String("evacuation."));
 }
 
-const LogLine *lastNamed(const QList<LogLine> &lines, const char *name)
+const LogLine *lastEvent(const QList<LogLine> &lines, const char *name)
 {
     const auto found = std::find_if(lines.crbegin(), lines.crend(), [&](const LogLine &line) {
         return line.name == QLatin1String(name);
@@ -57,49 +58,50 @@
     return found == lines.crend() ? nullptr : &*found;
 }
 
-int countOf(const QList<LogLine> &lines, const char *name)
+int countEvents(const QList<LogLine> &lines, const char *name)
 {
     return int(std::count_if(lines.cbegin(), lines.cend(), [&](const LogLine &line) {
         return line.name == QLatin1String(name);
     }));
 }
 
-QString lostStream(const RequestStory &story)
+QString explainLostStream(const RequestTrace &trace)
 {
-    const LogLine *lost = lastNamed(story.lines, "stream.lost");
+    const LogLine *lost = lastEvent(trace.lines, "stream.lost");
     if (!lost)
-        return QStringLiteral("The stream was broken off; the log does not say why.");
+        return QStringLiteral("The stream was cut off; the log gives no reason.");
     QString cause =
         QStringLiteral("The stream was lost after event %1 at target %2: %3.")
             .arg(field(*lost, "events"), field(*lost, "target"), field(*lost, "reason"));
-    if (const LogLine *leaving = lastNamed(story.lines, "target.leaving"))
-        cause += QStringLiteral(" The target was known to leave since %1 (%2).")
+    if (const LogLine *leaving = lastEvent(trace.lines, "target.leaving"))
+        cause += QStringLiteral(" The target was known to be leaving since %1 (%2).")
                      .arg(leaving->time, field(*leaving, "reason"));
-    if (const LogLine *move = lastNamed(story.lines, "move.ended"))
+    if (const LogLine *move = lastEvent(trace.lines, "move.ended"))
         cause += QStringLiteral(" The last of %1 moves ended as %2.")
-                     .arg(countOf(story.lines, "move.begun"))
+                     .arg(countEvents(trace.lines, "move.begun"))
                      .arg(field(*move, "outcome"));
     return cause;
 }
 
-QString failedAtTarget(const RequestStory &story)
+QString explainFailedSend(const RequestTrace &trace)
 {
-    const LogLine *send = lastNamed(story.lines, "relay.send_ended");
+    const LogLine *send = lastEvent(trace.lines, "relay.send_ended");
     if (!send)
         return QStringLiteral("No send ended.");
     QString cause = QStringLiteral("The last of %1 sends, to target %2, ended as %3")
-                        .arg(countOf(story.lines, "relay.sent"))
+                        .arg(countEvents(trace.lines, "relay.sent"))
                         .arg(field(*send, "target"), field(*send, "result"));
     if (!field(*send, "reason").isEmpty())
         cause += QStringLiteral(": %1").arg(field(*send, "reason"));
     return cause + u'.';
 }
 
-/// The data centres that the daemon knew to be evacuated when the request ended, and since when.
-QString evacuations(const RequestStory &story)
+/// Lists the data centres that were under evacuation at the daemon when the request ended, each
+/// with the start time.
+QString explainEvacuations(const RequestTrace &trace)
 {
     QMap<QString, QString> since;
-    for (const LogLine &line : story.lines) {
+    for (const LogLine &line : trace.lines) {
         if (line.name == QLatin1String("evacuation.in_force"))
             since.insert(field(line, "data_centre"), line.time);
         else if (line.name == QLatin1String("evacuation.ended"))
@@ -112,41 +114,43 @@
     return text;
 }
 
-QString unplaced(const RequestStory &story)
+QString explainNoTarget(const RequestTrace &trace)
 {
-    const LogLine *waiting = lastNamed(story.lines, "relay.waiting");
-    QString cause = QStringLiteral("No target took it: %1 engines refused room, %2 sends.")
-                        .arg(countOf(story.lines, "reservation.refused"))
-                        .arg(countOf(story.lines, "relay.sent"));
+    const LogLine *waiting = lastEvent(trace.lines, "relay.waiting");
+    QString cause =
+        QStringLiteral("No target accepted the request: %1 engines refused room, %2 sends.")
+            .arg(countEvents(trace.lines, "reservation.refused"))
+            .arg(countEvents(trace.lines, "relay.sent"));
     if (waiting)
-        cause += QStringLiteral(" %1 targets of its service were known.")
+        cause += QStringLiteral(" The daemon knew %1 targets of its service.")
                      .arg(field(*waiting, "targets"));
-    return cause + evacuations(story);
+    return cause + explainEvacuations(trace);
 }
 
-QString causeOf(const RequestStory &story, const LogLine &ended)
+QString explainOutcome(const RequestTrace &trace, const LogLine &ended)
 {
     const QString outcome = field(ended, "outcome");
     if (outcome == QLatin1String("answered"))
-        return QStringLiteral("First event after %1 ms, longest pause %2 ms, by moves %3 ms.")
+        return QStringLiteral(
+                   "First event after %1 ms, longest pause %2 ms, of which moves caused %3 ms.")
             .arg(field(ended, "first_ms"), field(ended, "pause_ms"), field(ended, "move_pause_ms"));
     if (outcome == QLatin1String("broken off"))
-        return lostStream(story);
+        return explainLostStream(trace);
     if (outcome == QLatin1String("no_target"))
-        return unplaced(story);
+        return explainNoTarget(trace);
     if (outcome == QLatin1String("caller gone"))
         return QStringLiteral("The caller closed its connection.");
-    return failedAtTarget(story);
+    return explainFailedSend(trace);
 }
 
-/// Why it was refused before it needed a target.
-QString refusal(const RequestStory &story, const LogLine &refused)
+/// Explains why the request was refused before a target was chosen.
+QString explainRefusal(const RequestTrace &trace, const LogLine &refused)
 {
     QString cause = QStringLiteral("Refused as %1: %2. Configuration version %3, current: %4.")
                         .arg(field(refused, "kind"), field(refused, "detail"),
                              field(refused, "version"), field(refused, "current"));
-    const LogLine *down = lastNamed(story.lines, "platform.down");
-    const LogLine *back = lastNamed(story.lines, "platform.back");
+    const LogLine *down = lastEvent(trace.lines, "platform.down");
+    const LogLine *back = lastEvent(trace.lines, "platform.back");
     if (down && (!back || back->time < down->time))
         cause += QStringLiteral(" The platform's store was away since %1.").arg(down->time);
     return cause;
@@ -154,32 +158,36 @@
 
 } // namespace
 
-RequestStory storyOf(const QString &request, const QList<LogLine> &lines)
+RequestTrace traceRequest(const QString &request, const QList<LogLine> &lines)
 {
-    RequestStory story;
+    RequestTrace trace;
     QList<LogLine> sorted = lines;
     std::stable_sort(sorted.begin(), sorted.end(),
                      [](const LogLine &a, const LogLine &b) { return a.time < b.time; });
-    const auto isOwn = [&](const LogLine &line) { return field(line, "request") == request; };
-    QList<LogLine> own;
-    std::copy_if(sorted.cbegin(), sorted.cend(), std::back_inserter(own), isOwn);
-    if (own.isEmpty())
-        return story;
-    const Involved involved = involvedIn(own);
-    std::copy_if(sorted.cbegin(), sorted.cend(), std::back_inserter(story.lines),
-                 [&](const LogLine &line) { return isOwn(line) || explains(line, involved); });
-    if (const LogLine *ended = lastNamed(own, "relay.ended")) {
-        story.verdict.append(
+    const auto isRequestLine = [&](const LogLine &line) {
+        return field(line, "request") == request;
+    };
+    QList<LogLine> requestLines;
+    std::copy_if(sorted.cbegin(), sorted.cend(), std::back_inserter(requestLines), isRequestLine);
+    if (requestLines.isEmpty())
+        return trace;
+    const RequestScope scope = scopeOf(requestLines);
+    std::copy_if(
+        sorted.cbegin(), sorted.cend(), std::back_inserter(trace.lines),
+        [&](const LogLine &line) { return isRequestLine(line) || isRelevant(line, scope); });
+    if (const LogLine *ended = lastEvent(requestLines, "relay.ended")) {
+        trace.verdict.append(
             QStringLiteral("Ended as %1 after %2 ms; has run: %3.")
                 .arg(field(*ended, "outcome"), field(*ended, "ms"), field(*ended, "ran")));
-        story.verdict.append(causeOf(story, *ended));
-    } else if (const LogLine *refused = lastNamed(own, "relay.refused")) {
-        story.verdict.append(refusal(story, *refused));
+        trace.verdict.append(explainOutcome(trace, *ended));
+    } else if (const LogLine *refused = lastEvent(requestLines, "relay.refused")) {
+        trace.verdict.append(explainRefusal(trace, *refused));
     } else {
-        story.verdict.append(QStringLiteral("No line says how it ended: its daemon stopped, or its "
-                                            "log is not among the files."));
+        trace.verdict.append(
+            QStringLiteral("No log line records how the request ended: its daemon stopped, "
+                           "or the log of that daemon is missing from the files."));
     }
-    return story;
+    return trace;
 }
 
 } // namespace cranberry::ctl
--- a/apps/ctl/RequestStory.h
+++ b/apps/ctl/RequestStory.h
@@ -1,4 +1,3 @@
-// Defines RequestStory, what the logs of several daemons say of one request.
 #pragma once
 
 #include "ctl/LogLine.h"
@@ -8,15 +7,17 @@
 
 namespace cranberry::ctl {
 
-struct RequestStory {
-    /// Lines of the request, and those of its targets and its daemons' dependencies that explain
-    /// them, in order of time.
+/// The lines about one request in the logs of several daemons, and an explanation of its outcome.
+struct RequestTrace {
+    /// Lines of the request, and lines about its targets and about the platform and evacuations as
+    /// seen by its daemons, in time order.
     QList<LogLine> lines;
-    /// How it ended and why, one sentence a line. Empty if no line has the request.
+    /// How and why the request ended, one entry per statement. Empty if no line has the request.
     QStringList verdict;
 };
 
-/// Picks the story of @p request from all @p lines. Thread-safe.
-RequestStory storyOf(const QString &request, const QList<LogLine> &lines);
+/// Selects the lines that concern the request with the id @p request from @p lines and derives how
+/// it ended. Thread-safe.
+RequestTrace traceRequest(const QString &request, const QList<LogLine> &lines);
 
 } // namespace cranberry::ctl
--- a/apps/ctl/StatusText.cpp
+++ b/apps/ctl/StatusText.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-QString cell(const QJsonValue &value)
+QString formatCell(const QJsonValue &value)
 {
     if (value.isBool())
         return value.toBool() ? QStringLiteral("yes") : QStringLiteral("no");
@@ -18,14 +18,14 @@
     return value.isString() ? value.toString() : QStringLiteral("-");
 }
 
-/// The members @p names of each object of @p rows, in columns under their names.
-QString table(const QJsonArray &rows, const QStringList &names)
+/// Formats the members @p names of each object in @p rows as a table with a header row.
+QString formatTable(const QJsonArray &rows, const QStringList &names)
 {
     QList<QStringList> lines{names};
     for (const auto &row : rows) {
         QStringList line;
         for (const QString &name : names)
-            line.append(cell(row.toObject().value(name)));
+            line.append(formatCell(row.toObject().value(name)));
         lines.append(line);
     }
     QList<qsizetype> widths(names.size(), 0);
@@ -50,26 +50,26 @@
     const QString fault = status["configuration_fault"].toString();
     QString text =
         QStringLiteral("%1: version %2, %3, platform %4\n")
-            .arg(status["vm"].toString(), cell(status["configuration_version"]),
+            .arg(status["vm"].toString(), formatCell(status["configuration_version"]),
                  status["ready"].toBool() ? QStringLiteral("ready") : QStringLiteral("not ready"),
                  status["platform_reachable"].toBool() ? QStringLiteral("reachable")
                                                        : QStringLiteral("not reachable"));
     if (!fault.isEmpty())
         text += QStringLiteral("the newest version is not in force here: %1\n").arg(fault);
     text += '\n'
-        + table(status["members"].toArray(),
-                {"vm", "data_centre", "state", "configuration_version"});
+        + formatTable(status["members"].toArray(),
+                      {"vm", "data_centre", "state", "configuration_version"});
     const QJsonArray quarantine = status["quarantine"].toArray();
     if (!quarantine.isEmpty())
-        text += '\n' + table(quarantine, {"workspace", "fingerprint", "until"});
+        text += '\n' + formatTable(quarantine, {"workspace", "fingerprint", "until"});
     return text.trimmed();
 }
 
 QString targetsText(const QJsonObject &status)
 {
-    return table(status["targets"].toArray(),
-                 {"target", "service", "resident_tokens", "capacity_tokens", "running", "waiting",
-                  "leaving", "dead"})
+    return formatTable(status["targets"].toArray(),
+                       {"target", "service", "resident_tokens", "capacity_tokens", "running",
+                        "waiting", "leaving", "dead"})
         .trimmed();
 }
 
--- a/apps/ctl/StatusText.h
+++ b/apps/ctl/StatusText.h
@@ -1,4 +1,3 @@
-// Defines how cranberryctl prints the status of a daemon.
 #pragma once
 
 #include <QString>
@@ -7,10 +6,12 @@
 
 namespace cranberry::ctl {
 
-/// Daemons with their versions, and the quarantine, of an answer to /v1/status. Thread-safe.
+/// Formats the daemons with their configuration versions and the quarantine list of @p status, a
+/// response to /v1/status, as text for operators. Thread-safe.
 QString statusText(const QJsonObject &status);
 
-/// Targets with memory and marks, of an answer to /v1/status. Thread-safe.
+/// Formats the targets of @p status, a response to /v1/status, with their memory use and whether
+/// they are leaving or dead, as text for operators. Thread-safe.
 QString targetsText(const QJsonObject &status);
 
 } // namespace cranberry::ctl
