--- a/apps/soak/CranberrySoak.cpp
+++ b/apps/soak/CranberrySoak.cpp
@@ -1,4 +1,3 @@
-// cranberry-soak: daemons as processes under random faults, held to their promises.
 #include "base/EventLog.h"
 #include "soak/SoakRun.h"
 #include "support/EventLoop.h"
@@ -7,32 +6,34 @@
 
 #include <cstdio>
 
-DEFINE_uint32(seed, 1, "seed of the faults and requests");
-DEFINE_uint32(seeds, 1, "number of seeds to run, from --seed on");
-DEFINE_uint32(seconds, 10, "time of each run under faults; 1 to 3600");
-DEFINE_uint32(daemons, 3, "daemons; 1 to 100");
+DEFINE_uint32(seed, 1, "seed of the random faults and requests");
+DEFINE_uint32(seeds, 1, "number of consecutive seeds to run, starting with --seed");
+DEFINE_uint32(seconds, 10, "duration of fault injection in each run, in seconds; 1 to 3600");
+DEFINE_uint32(daemons, 3, "number of daemons; 1 to 100");
 
 namespace {
 
-constexpr int ExitBroken = 1;
-constexpr int ExitBadUse = 2;
+constexpr int ExitViolation = 1;
+constexpr int ExitUsageError = 2;
 
 } // namespace
 
 int main(int argc, char *argv[])
 {
-    gflags::SetUsageMessage("runs daemons under random faults and checks their promises\n"
-                            "  cranberry-soak [--seed N] [--seeds N] [--seconds S] [--daemons N]\n"
-                            "Exit codes: 0 all kept, 1 a promise was broken, 2 bad flags.");
+    gflags::SetUsageMessage(
+        "runs daemon processes under random faults and checks their guarantees\n"
+        "  cranberry-soak [--seed N] [--seeds N] [--seconds S] [--daemons N]\n"
+        "Exit codes: 0 no violation, 1 a guarantee was violated, 2 invalid flags.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    const bool isUsable =
+    const bool areFlagsValid =
         FLAGS_seconds >= 1 && FLAGS_seconds <= 3600 && FLAGS_daemons >= 1 && FLAGS_daemons <= 100;
-    if (!isUsable) {
-        std::fprintf(stderr, "cranberry-soak: --seconds 1 to 3600, --daemons 1 to 100\n");
-        return ExitBadUse;
+    if (!areFlagsValid) {
+        std::fprintf(stderr,
+                     "cranberry-soak: expected --seconds 1 to 3600 and --daemons 1 to 100\n");
+        return ExitUsageError;
     }
     cranberry::test::ensureApplication();
-    int broken = 0;
+    int violationCount = 0;
     for (quint32 seed = FLAGS_seed; seed < FLAGS_seed + FLAGS_seeds; ++seed) {
         cranberry::soak::SoakOptions options;
         options.seed = seed;
@@ -45,7 +46,7 @@
         for (const QString &line : checks.broken())
             std::printf("  %s\n", qPrintable(line));
         std::fflush(stdout);
-        broken += int(checks.broken().size());
+        violationCount += int(checks.broken().size());
     }
-    return broken > 0 ? ExitBroken : 0;
+    return violationCount > 0 ? ExitViolation : 0;
 }
--- a/apps/soak/FaultProxy.cpp
+++ b/apps/soak/FaultProxy.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int DelayMilliseconds = 150;
+constexpr int DelayMs = 150;
 
 } // namespace
 
@@ -16,12 +16,13 @@
     : m_destination(std::move(destination))
 {
     m_server.listen(QHostAddress::LocalHost);
-    QObject::connect(&m_server, &QTcpServer::newConnection, &m_server, [this] { accept(); });
+    QObject::connect(&m_server, &QTcpServer::newConnection, &m_server,
+                     [this] { acceptConnections(); });
 }
 
 FaultProxy::~FaultProxy()
 {
-    reset();
+    abortConnections();
 }
 
 HttpEndpoint FaultProxy::endpoint() const
@@ -29,51 +30,55 @@
     return {QStringLiteral("127.0.0.1"), m_server.serverPort()};
 }
 
-void FaultProxy::accept()
+void FaultProxy::acceptConnections()
 {
-    while (QTcpSocket *near = m_server.nextPendingConnection()) {
-        auto *far = new QTcpSocket(near);
-        m_sockets.append(near);
-        QObject::connect(near, &QObject::destroyed, &m_server,
-                         [this, near] { m_sockets.removeAll(near); });
-        const auto out = std::make_shared<Direction>(Direction{near, far, false, false, {}});
-        const auto back = std::make_shared<Direction>(Direction{far, near, true, false, {}});
-        QObject::connect(near, &QTcpSocket::readyRead, far, [this, out] { pass(out); });
-        QObject::connect(far, &QTcpSocket::readyRead, near, [this, back] { pass(back); });
-        QObject::connect(near, &QTcpSocket::disconnected, near, &QObject::deleteLater);
-        QObject::connect(far, &QTcpSocket::disconnected, near,
-                         [near] { near->disconnectFromHost(); });
-        QObject::connect(far, &QTcpSocket::errorOccurred, near, [near, far] {
-            if (far->state() != QAbstractSocket::ConnectedState)
-                near->disconnectFromHost();
+    while (QTcpSocket *client = m_server.nextPendingConnection()) {
+        auto *upstream = new QTcpSocket(client);
+        m_sockets.append(client);
+        QObject::connect(client, &QObject::destroyed, &m_server,
+                         [this, client] { m_sockets.removeAll(client); });
+        const auto request =
+            std::make_shared<Direction>(Direction{client, upstream, false, false, {}});
+        const auto response =
+            std::make_shared<Direction>(Direction{upstream, client, true, false, {}});
+        QObject::connect(client, &QTcpSocket::readyRead, upstream,
+                         [this, request] { forward(request); });
+        QObject::connect(upstream, &QTcpSocket::readyRead, client,
+                         [this, response] { forward(response); });
+        QObject::connect(client, &QTcpSocket::disconnected, client, &QObject::deleteLater);
+        QObject::connect(upstream, &QTcpSocket::disconnected, client,
+                         [client] { client->disconnectFromHost(); });
+        QObject::connect(upstream, &QTcpSocket::errorOccurred, client, [client, upstream] {
+            if (upstream->state() != QAbstractSocket::ConnectedState)
+                client->disconnectFromHost();
         });
-        out->isDead = m_fault == LinkFault::Silent;
-        far->connectToHost(QHostAddress(m_destination.address), m_destination.port);
+        request->isStopped = m_fault == LinkFault::DropAll;
+        upstream->connectToHost(QHostAddress(m_destination.address), m_destination.port);
     }
 }
 
-void FaultProxy::pass(const std::shared_ptr<Direction> &direction)
+void FaultProxy::forward(const std::shared_ptr<Direction> &direction)
 {
     const QByteArray data = direction->from->readAll();
-    const bool isLost =
-        m_fault == LinkFault::Silent || (m_fault == LinkFault::CutBack && direction->isBack);
-    direction->isDead = direction->isDead || isLost || !direction->to->isOpen();
-    if (direction->isDead)
+    const bool isDropped = m_fault == LinkFault::DropAll
+        || (m_fault == LinkFault::DropFromUpstream && direction->isFromUpstream);
+    direction->isStopped = direction->isStopped || isDropped || !direction->to->isOpen();
+    if (direction->isStopped)
         return;
-    const bool waits = m_fault == LinkFault::Delay || !direction->delayed.isEmpty();
-    if (!waits) {
+    const bool isDelayed = m_fault == LinkFault::Delay || !direction->pendingBytes.isEmpty();
+    if (!isDelayed) {
         direction->to->write(data);
         return;
     }
-    const bool isFirst = direction->delayed.isEmpty();
-    direction->delayed += data;
+    const bool isFirst = direction->pendingBytes.isEmpty();
+    direction->pendingBytes += data;
     if (isFirst)
-        QTimer::singleShot(DelayMilliseconds, direction->to, [direction] {
-            direction->to->write(std::exchange(direction->delayed, {}));
+        QTimer::singleShot(DelayMs, direction->to, [direction] {
+            direction->to->write(std::exchange(direction->pendingBytes, {}));
         });
 }
 
-void FaultProxy::reset()
+void FaultProxy::abortConnections()
 {
     const QList<QTcpSocket *> sockets = m_sockets;
     for (QTcpSocket *socket : sockets)
--- a/apps/soak/FaultProxy.h
+++ b/apps/soak/FaultProxy.h
@@ -1,4 +1,3 @@
-// Defines FaultProxy, a loopback TCP proxy that harms the connections through it.
 #pragma once
 
 #include "http/HttpEndpoint.h"
@@ -12,17 +11,18 @@
 
 namespace cranberry::soak {
 
-/// What a proxy does with bytes now.
+/// How a proxy treats the bytes that pass through it.
 enum class LinkFault {
     None,
-    /// Bytes wait for a while.
+    /// Bytes are forwarded after a delay.
     Delay,
-    /// Bytes from the far side are lost, without a word.
-    CutBack,
-    /// Both directions are silent; new connections hang.
-    Silent,
+    /// Bytes from the upstream are discarded; the connections stay open.
+    DropFromUpstream,
+    /// Bytes in both directions are discarded; new connections are accepted but get no data.
+    DropAll,
 };
 
+/// A loopback TCP proxy that injects link faults into the connections through it.
 /// Thread safety: only from the thread of its event loop.
 class FaultProxy
 {
@@ -32,22 +32,24 @@
 
     HttpEndpoint endpoint() const;
     void setFault(LinkFault fault) { m_fault = fault; }
-    /// Breaks all connections off.
-    void reset();
+    /// Aborts all connections.
+    void abortConnections();
 
 private:
-    /// One direction of one connection.
+    /// One direction of a proxied connection.
     struct Direction {
         QTcpSocket *from = nullptr;
         QTcpSocket *to = nullptr;
-        bool isBack = false;
-        /// Bytes were lost: as TCP delivers in order or not at all, nothing follows.
-        bool isDead = false;
-        QByteArray delayed;
+        bool isFromUpstream = false;
+        /// No more bytes are forwarded. Once bytes were discarded, forwarding later ones would
+        /// leave a gap in the stream, which TCP never delivers.
+        bool isStopped = false;
+        /// Bytes held back by LinkFault::Delay.
+        QByteArray pendingBytes;
     };
 
-    void accept();
-    void pass(const std::shared_ptr<Direction> &direction);
+    void acceptConnections();
+    void forward(const std::shared_ptr<Direction> &direction);
 
     HttpEndpoint m_destination;
     LinkFault m_fault = LinkFault::None;
--- a/apps/soak/SoakRun.cpp
+++ b/apps/soak/SoakRun.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr int EventsOfAStream = 120;
+constexpr int EventsPerStream = 120;
 constexpr Milliseconds EventInterval{10};
-/// Requests and faults come this often on average.
-constexpr int AskMilliseconds = 15;
-constexpr int HarmMilliseconds = 400;
-constexpr int MostOutput = 120;
+/// Average interval between requests, and between faults.
+constexpr int RequestIntervalMs = 15;
+constexpr int FaultIntervalMs = 400;
+constexpr int MaxOutputTokens = 120;
 constexpr int PromptTokens = 500;
-/// After the last fault, all requests end within this time: their deadline is 15 s.
-constexpr std::chrono::seconds EndWithin{20};
+/// Time for the pending requests to end after the last fault; their deadline is 15 s.
+constexpr std::chrono::seconds CompletionTimeout{20};
 
 } // namespace
 
@@ -30,8 +30,8 @@
     for (int i = 0; i < options.engines; ++i)
         addEngine();
     for (int i = 0; i < 2; ++i) {
-        m_plain.push_back(&m_site.addRunner("plain-" + QByteArray::number(i), "plain"));
-        m_plain.back()->onRan([this, i](const HttpRequest &request) {
+        m_plainTargets.push_back(&m_site.addRunner("plain-" + QByteArray::number(i), "plain"));
+        m_plainTargets.back()->onRan([this, i](const HttpRequest &request) {
             m_checks.ran("plain-" + QByteArray::number(i), request);
         });
     }
@@ -48,7 +48,7 @@
 {
     const QByteArray id = "engine-" + QByteArray::number(qulonglong(m_engines.size()));
     standin::RunnerEmulator &engine = m_site.addRunner(id, "model");
-    engine.setGeneration(EventsOfAStream, EventInterval);
+    engine.setGeneration(EventsPerStream, EventInterval);
     engine.onRan([this, id](const HttpRequest &request) { m_checks.ran(id, request); });
     m_engines.push_back(&engine);
 }
@@ -57,62 +57,62 @@
 {
     QElapsedTimer elapsed;
     elapsed.start();
-    qint64 nextAsk = 0;
-    qint64 nextHarm = HarmMilliseconds;
-    const qint64 end = std::chrono::milliseconds(m_options.duration).count();
+    qint64 nextRequestMs = 0;
+    qint64 nextFaultMs = FaultIntervalMs;
+    const qint64 endMs = std::chrono::milliseconds(m_options.duration).count();
     test::waitFor(
         [&] {
-            while (nextAsk <= elapsed.elapsed()) {
-                ask();
-                nextAsk += 1 + draw(2 * AskMilliseconds);
+            while (nextRequestMs <= elapsed.elapsed()) {
+                sendRequest();
+                nextRequestMs += 1 + randomBelow(2 * RequestIntervalMs);
             }
-            while (nextHarm <= elapsed.elapsed()) {
-                harm();
-                nextHarm += 1 + draw(2 * HarmMilliseconds);
+            while (nextFaultMs <= elapsed.elapsed()) {
+                injectFault();
+                nextFaultMs += 1 + randomBelow(2 * FaultIntervalMs);
             }
-            collect();
-            return elapsed.elapsed() > end;
+            collectAnswers();
+            return elapsed.elapsed() > endMs;
         },
-        m_options.duration + EndWithin);
-    mend();
+        m_options.duration + CompletionTimeout);
+    clearFaults();
     test::waitFor(
         [&] {
-            collect();
+            collectAnswers();
             return m_pending.empty();
         },
-        EndWithin);
+        CompletionTimeout);
     return m_checks;
 }
 
-void SoakRun::ask()
+void SoakRun::sendRequest()
 {
-    const int daemon = draw(m_options.daemons);
+    const int daemon = randomBelow(m_options.daemons);
     if (m_site.hasEnded(daemon))
         return;
     const QByteArray id =
-        "s" + QByteArray::number(m_options.seed) + '-' + QByteArray::number(++m_asked);
-    const HttpEndpoint at = m_proxies[size_t(daemon)]->endpoint();
-    switch (draw(4)) {
+        "s" + QByteArray::number(m_options.seed) + '-' + QByteArray::number(++m_requestCount);
+    const HttpEndpoint endpoint = m_proxies[size_t(daemon)]->endpoint();
+    switch (randomBelow(4)) {
     case 0:
         m_pending.push_back(
             {id,
-             m_site.sendTo(at, "POST", "/model/a", id,
-                           test::PlatformSite::generation(PromptTokens, MostOutput)),
+             m_site.sendTo(endpoint, "POST", "/model/a", id,
+                           test::PlatformSite::generation(PromptTokens, MaxOutputTokens)),
              false});
         break;
     case 1:
-        m_pending.push_back({id, m_site.sendTo(at, "GET", "/safe/a", id, {}), false});
+        m_pending.push_back({id, m_site.sendTo(endpoint, "GET", "/safe/a", id, {}), false});
         break;
     default:
-        m_pending.push_back({id, m_site.sendTo(at, "POST", "/unsafe/a", id, {}), false});
+        m_pending.push_back({id, m_site.sendTo(endpoint, "POST", "/unsafe/a", id, {}), false});
         break;
     }
-    // Some clients leave before their answer.
-    if (draw(20) == 0)
+    // One client in 20 disconnects before the answer.
+    if (randomBelow(20) == 0)
         m_pending.pop_back();
 }
 
-void SoakRun::collect()
+void SoakRun::collectAnswers()
 {
     for (auto pending = m_pending.begin(); pending != m_pending.end();) {
         if (!pending->call->isOver) {
@@ -125,54 +125,54 @@
     }
 }
 
-void SoakRun::harm()
+void SoakRun::injectFault()
 {
-    switch (draw(4)) {
+    switch (randomBelow(4)) {
     case 0:
-        harmStore();
+        injectStoreFault();
         break;
     case 1:
-        harmEngine();
+        injectEngineFault();
         break;
     case 2:
-        harmDaemon();
+        injectDaemonFault();
         break;
     default: {
-        FaultProxy &proxy = *m_proxies[size_t(draw(m_options.daemons))];
-        if (draw(3) == 0)
-            proxy.reset();
-        proxy.setFault(LinkFault(draw(4)));
+        FaultProxy &proxy = *m_proxies[size_t(randomBelow(m_options.daemons))];
+        if (randomBelow(3) == 0)
+            proxy.abortConnections();
+        proxy.setFault(LinkFault(randomBelow(4)));
         break;
     }
     }
 }
 
-void SoakRun::harmDaemon()
+void SoakRun::injectDaemonFault()
 {
-    const int daemon = draw(m_options.daemons);
-    const auto number = size_t(daemon);
+    const int daemon = randomBelow(m_options.daemons);
+    const auto index = size_t(daemon);
     if (m_site.hasEnded(daemon)) {
-        // The process is gone: another one takes its place.
+        // The process has exited; a new one replaces it.
         m_site.restart(daemon);
-        m_proxies[number] = std::make_unique<FaultProxy>(m_site.callers(daemon));
-        m_paused[number] = false;
+        m_proxies[index] = std::make_unique<FaultProxy>(m_site.callers(daemon));
+        m_paused[index] = false;
         return;
     }
-    if (m_paused[number]) {
+    if (m_paused[index]) {
         m_site.signal(daemon, SIGCONT);
-        m_paused[number] = false;
+        m_paused[index] = false;
         return;
     }
     constexpr int Signals[] = {SIGTERM, SIGKILL, SIGSTOP, SIGHUP, SIGHUP};
-    const int signal = Signals[draw(5)];
-    m_paused[number] = signal == SIGSTOP;
+    const int signal = Signals[randomBelow(5)];
+    m_paused[index] = signal == SIGSTOP;
     m_site.signal(daemon, signal);
 }
 
-void SoakRun::harmStore()
+void SoakRun::injectStoreFault()
 {
     standin::StoreEmulator &store = m_site.store();
-    switch (draw(4)) {
+    switch (randomBelow(4)) {
     case 0:
         store.refuse(standin::StoreEmulator::Door::First, true);
         break;
@@ -181,28 +181,28 @@
         break;
     case 2:
         store.compact();
-        store.cutWatches(draw(2) == 0);
+        store.cutWatches(randomBelow(2) == 0);
         break;
     default:
-        m_site.configure(++m_version, draw(2) == 0);
+        m_site.configure(++m_version, randomBelow(2) == 0);
         break;
     }
 }
 
-void SoakRun::harmEngine()
+void SoakRun::injectEngineFault()
 {
-    const auto number = size_t(draw(int(m_engines.size())));
-    standin::RunnerEmulator &engine = *m_engines[number];
-    if (draw(3) == 0) {
+    const auto index = size_t(randomBelow(int(m_engines.size())));
+    standin::RunnerEmulator &engine = *m_engines[index];
+    if (randomBelow(3) == 0) {
         engine.crash();
         return;
     }
-    // It leaves, and another one comes.
+    // The engine drains, and a new one joins.
     m_site.announce(engine, "model", "draining");
     addEngine();
 }
 
-void SoakRun::mend()
+void SoakRun::clearFaults()
 {
     m_site.store().refuse(standin::StoreEmulator::Door::First, false);
     m_site.store().cutWatches(false);
--- a/apps/soak/SoakRun.h
+++ b/apps/soak/SoakRun.h
@@ -1,4 +1,3 @@
-// Defines SoakRun, one seeded run of daemons under faults.
 #pragma once
 
 #include "soak/FaultProxy.h"
@@ -11,6 +10,7 @@
 
 namespace cranberry::soak {
 
+/// Parameters of a soak run.
 struct SoakOptions {
     quint32 seed = 1;
     std::chrono::seconds duration{20};
@@ -18,8 +18,9 @@
     int engines = 4;
 };
 
-/// Starts daemons as processes, lets clients ask all the while, and harms links, runners, store
-/// and processes in series that overlap. It ends only processes that it started.
+/// One seeded soak run. Starts daemons as processes, sends client requests throughout, and injects
+/// overlapping faults into links, runners, the store and the daemon processes. Signals only
+/// processes that it started.
 /// Thread safety: only from its own thread.
 class SoakRun
 {
@@ -27,36 +28,37 @@
     explicit SoakRun(const SoakOptions &options);
     ~SoakRun();
 
-    /// Runs to the end and returns what was promised and not kept.
+    /// Runs to completion and returns the checks with all violations.
     const standin::PromiseChecks &run();
 
 private:
-    struct Pending {
+    struct PendingRequest {
         QByteArray id;
         std::shared_ptr<test::ClientCall> call;
         bool hasEnoughEvents = false;
     };
 
-    int draw(int most) { return int(m_random() % quint32(most)); }
+    /// A random number from 0 to @p bound - 1.
+    int randomBelow(int bound) { return int(m_random() % quint32(bound)); }
     void addEngine();
-    void ask();
-    void collect();
-    void harm();
-    void harmDaemon();
-    void harmStore();
-    void harmEngine();
-    void mend();
+    void sendRequest();
+    void collectAnswers();
+    void injectFault();
+    void injectDaemonFault();
+    void injectStoreFault();
+    void injectEngineFault();
+    void clearFaults();
 
     SoakOptions m_options;
     std::mt19937 m_random;
     standin::PromiseChecks m_checks;
     test::PlatformSite m_site;
     std::vector<standin::RunnerEmulator *> m_engines;
-    std::vector<standin::RunnerEmulator *> m_plain;
+    std::vector<standin::RunnerEmulator *> m_plainTargets;
     std::vector<std::unique_ptr<FaultProxy>> m_proxies;
-    std::vector<Pending> m_pending;
+    std::vector<PendingRequest> m_pending;
     std::vector<bool> m_paused;
-    int m_asked = 0;
+    int m_requestCount = 0;
     int m_version = 1;
 };
 
