--- a/apps/load/ArrivalPlan.cpp
+++ b/apps/load/ArrivalPlan.cpp
@@ -18,7 +18,7 @@
     return std::uniform_real_distribution<double>(0, 1)(generator);
 }
 
-QString filler(Generator &generator, int bytes)
+QString randomText(Generator &generator, int bytes)
 {
     QString text;
     text.reserve(bytes);
@@ -27,11 +27,11 @@
     return text;
 }
 
-/// The same for all requests of the workspace, whatever the seed.
+/// The text of shared prefix @p number of @p workspace. It does not depend on the seed of the load.
 QString sharedPrefix(const TrafficMix &mix, int workspace, int number)
 {
     Generator generator(quint64(workspace) * 1000 + quint64(number));
-    return filler(generator, mix.prefixTokens * BytesPerToken);
+    return randomText(generator, mix.prefixTokens * BytesPerToken);
 }
 
 QString drawPrompt(const TrafficMix &mix, int workspace, const QString &name, Generator &generator)
@@ -45,7 +45,7 @@
         prompt = sharedPrefix(mix, workspace, number);
     }
     prompt += QLatin1Char(' ') + name + QLatin1Char(' ');
-    return prompt + filler(generator, std::max(0, int(bytes - prompt.size())));
+    return prompt + randomText(generator, std::max(0, int(bytes - prompt.size())));
 }
 
 QList<double> workspaceWeights(const TrafficMix &mix)
@@ -57,14 +57,15 @@
     return weights;
 }
 
-/// The rate with what the greedy workspace sends on top of its share.
-double wholeRate(const TrafficMix &mix, const QList<double> &weights)
+/// The rate of all workspaces, including the requests that the greedy workspace sends on top of its
+/// share.
+double totalRate(const TrafficMix &mix, const QList<double> &weights)
 {
     double sum = 0;
     for (const double weight : weights)
         sum += weight;
-    const double fair = sum - weights.last() + weights.last() / mix.greedyFactor;
-    return mix.rate * sum / fair;
+    const double fairSum = sum - weights.last() + weights.last() / mix.greedyFactor;
+    return mix.rate * sum / fairSum;
 }
 
 } // namespace
@@ -74,26 +75,26 @@
     Generator generator(seed);
     const QList<double> weights = workspaceWeights(mix);
     std::discrete_distribution<int> workspaces(weights.begin(), weights.end());
-    std::exponential_distribution<double> gaps(wholeRate(mix, weights) / 1000.0);
+    std::exponential_distribution<double> intervals(totalRate(mix, weights) / 1000.0);
     QList<PlannedRequest> plan;
-    double at = gaps(generator);
-    while (at < double(mix.duration.count())) {
+    double arrivalMs = intervals(generator);
+    while (arrivalMs < double(mix.duration.count())) {
         PlannedRequest request;
-        request.at = Milliseconds(qint64(at));
+        request.sendOffset = Milliseconds(qint64(arrivalMs));
         request.workspace = workspaces(generator);
         request.maxTokens = mix.maxTokens;
         request.deadline = mix.deadline;
-        request.entry = generator();
-        const bool plain = uniform(generator) < mix.plainShare;
-        const bool chat = uniform(generator) < mix.chatShare;
-        request.kind = plain ? RequestKind::Plain
-            : chat           ? RequestKind::Chat
-                             : RequestKind::Completion;
+        request.gatewayDraw = generator();
+        const bool isPlain = uniform(generator) < mix.plainShare;
+        const bool isChat = uniform(generator) < mix.chatShare;
+        request.kind = isPlain ? RequestKind::Plain
+            : isChat           ? RequestKind::Chat
+                               : RequestKind::Completion;
         request.atMostOnce = uniform(generator) < mix.atMostOnceShare;
         const QString name = QStringLiteral("request %1-%2").arg(seed).arg(plan.size());
-        request.prompt = plain ? name : drawPrompt(mix, request.workspace, name, generator);
+        request.prompt = isPlain ? name : drawPrompt(mix, request.workspace, name, generator);
         plan.append(request);
-        at += gaps(generator);
+        arrivalMs += intervals(generator);
     }
     return plan;
 }
--- a/apps/load/ArrivalPlan.h
+++ b/apps/load/ArrivalPlan.h
@@ -1,4 +1,3 @@
-// Defines how the requests of a load are drawn from its seed.
 #pragma once
 
 #include "load/PlannedRequest.h"
@@ -8,8 +7,9 @@
 
 namespace cranberry::load {
 
-/// Requests with Poisson arrivals, in order of time. Equal arguments give equal requests.
-/// Precondition: @p mix has a key, and positive rate and duration. Thread-safe.
+/// Draws requests with Poisson arrivals from @p seed, in time order. Equal arguments give equal
+/// requests.
+/// Precondition: @p mix has at least one key, a positive rate and a positive duration. Thread-safe.
 QList<PlannedRequest> planArrivals(const TrafficMix &mix, quint64 seed);
 
 } // namespace cranberry::load
--- a/apps/load/ComparisonPlot.cpp
+++ b/apps/load/ComparisonPlot.cpp
@@ -21,9 +21,9 @@
 constexpr double LegendStep = 130;
 constexpr double LegendTop = 28;
 constexpr double LegendMark = 10;
-constexpr double LeastMs = 1;
-constexpr double MostMs = 10'000;
-constexpr double LeastShare = 1e-5;
+constexpr double MinMs = 1;
+constexpr double MaxMs = 10'000;
+constexpr double MinShare = 1e-5;
 const char *const Colours[] = {"#8a8a8a", "#d08a2c", "#3a7fb5", "#b03a5b", "#4f9a4f"};
 
 QString number(double value)
@@ -33,15 +33,14 @@
 
 double xOf(double milliseconds)
 {
-    const double share = std::log10(std::clamp(milliseconds, LeastMs, MostMs) / LeastMs)
-        / std::log10(MostMs / LeastMs);
+    const double share =
+        std::log10(std::clamp(milliseconds, MinMs, MaxMs) / MinMs) / std::log10(MaxMs / MinMs);
     return PlotLeft + share * (PlotRight - PlotLeft);
 }
 
 double yOf(double shareAbove)
 {
-    const double depth =
-        std::log10(std::clamp(shareAbove, LeastShare, 1.0)) / std::log10(LeastShare);
+    const double depth = std::log10(std::clamp(shareAbove, MinShare, 1.0)) / std::log10(MinShare);
     return PlotTop + depth * (PlotBottom - PlotTop);
 }
 
@@ -70,11 +69,11 @@
 
 void writeGrid(QXmlStreamWriter &xml)
 {
-    for (double ms = LeastMs; ms <= MostMs; ms *= 10) {
+    for (double ms = MinMs; ms <= MaxMs; ms *= 10) {
         writeLine(xml, xOf(ms), PlotTop, xOf(ms), PlotBottom);
         writeText(xml, xOf(ms), PlotBottom + 18, QStringLiteral("%1 ms").arg(ms), "middle");
     }
-    for (double share = 1; share >= LeastShare * 0.99; share /= 10) {
+    for (double share = 1; share >= MinShare * 0.99; share /= 10) {
         writeLine(xml, PlotLeft, yOf(share), PlotRight, yOf(share));
         writeText(xml, PlotLeft - 6, yOf(share) + 4, QString::number(share), "end");
     }
@@ -118,12 +117,12 @@
 
 void writeStallBars(QXmlStreamWriter &xml, const QList<LoadMetrics> &sums)
 {
-    double most = 1;
+    double maxStallMs = 1;
     for (const LoadMetrics &sum : sums)
-        most = std::max(most, sum.stallMs);
+        maxStallMs = std::max(maxStallMs, sum.stallMs);
     const double step = (BarsRight - BarsLeft) / double(sums.size());
     for (qsizetype i = 0; i < sums.size(); ++i) {
-        const double height = sums.at(i).stallMs / most * (PlotBottom - PlotTop);
+        const double height = sums.at(i).stallMs / maxStallMs * (PlotBottom - PlotTop);
         const double x = BarsLeft + step * double(i);
         writeBar(xml, x, step * 0.7, height, Colours[i % std::size(Colours)]);
         writeText(xml, x + step * 0.35, PlotBottom - height - 5,
--- a/apps/load/ComparisonPlot.h
+++ b/apps/load/ComparisonPlot.h
@@ -1,4 +1,3 @@
-// Defines the plot of a comparison of policies.
 #pragma once
 
 #include "load/PolicyComparison.h"
@@ -7,8 +6,9 @@
 
 namespace cranberry::load {
 
-/// An SVG picture: the share of gaps between tokens that are longer than a time, both axes
-/// logarithmic, one line a policy; beside it the stall time of each policy. Thread-safe.
+/// Draws an SVG chart with one curve per policy: the share of gaps between tokens that are longer
+/// than a given time, on logarithmic axes. Bars beside it show the stall time of each policy.
+/// Thread-safe.
 QByteArray comparisonSvg(const PolicyComparison &comparison, const QString &title);
 
 } // namespace cranberry::load
--- a/apps/load/CranberryLoad.cpp
+++ b/apps/load/CranberryLoad.cpp
@@ -1,4 +1,3 @@
-// cranberry-load: measures a running fleet under an open loop of requests.
 #include "load/ComparisonPlot.h"
 #include "load/LoadFlags.h"
 #include "load/PolicyCampaign.h"
@@ -17,13 +16,14 @@
 using namespace cranberry;
 using namespace cranberry::load;
 
-constexpr int ExitBroken = 1;
-constexpr int ExitBadUse = 2;
+constexpr int ExitViolation = 1;
+constexpr int ExitUsageError = 2;
 
-int complain(const QString &line)
+/// Prints @p line to stderr and returns the exit code for a usage error.
+int reportError(const QString &line)
 {
     std::fprintf(stderr, "cranberry-load: %s\n", qPrintable(line));
-    return ExitBadUse;
+    return ExitUsageError;
 }
 
 void print(const QString &text)
@@ -39,17 +39,17 @@
     QFile file(name);
     if (file.open(QIODevice::WriteOnly) && file.write(content) == content.size())
         return true;
-    complain(QStringLiteral("cannot write \"%1\": %2").arg(name, file.errorString()));
+    reportError(QStringLiteral("cannot write \"%1\": %2").arg(name, file.errorString()));
     return false;
 }
 
-bool promisesKept(const LoadMetrics &metrics)
+bool hasNoViolation(const LoadMetrics &metrics)
 {
     return metrics.tokensLost == 0 && metrics.tokensDoubled == 0 && metrics.crossed == 0
         && metrics.wrongText == 0 && metrics.ranTwice == 0 && metrics.ranThoughRefused == 0;
 }
 
-int runOnce(const LoadCommand &command)
+int runSeeds(const LoadCommand &command)
 {
     LoadMetrics sum;
     QJsonArray runs;
@@ -62,47 +62,48 @@
     const QJsonObject json{{QStringLiteral("runs"), runs},
                            {QStringLiteral("sum"), metricsJson(sum)}};
     if (!writeFile(command.jsonFile, QJsonDocument(json).toJson()))
-        return ExitBadUse;
-    return promisesKept(sum) ? 0 : ExitBroken;
+        return ExitUsageError;
+    return hasNoViolation(sum) ? 0 : ExitViolation;
 }
 
 int compare(const LoadCommand &command)
 {
-    bool kept = true;
+    bool isCorrect = true;
     const PolicyCampaign campaign{command.targets, command.mix,      command.limits,
                                   command.service, command.policies, command.seeds};
     const auto compared = comparePolicies(
         campaign, [&](const QString &policy, quint64 seed, const LoadMetrics &metrics) {
-            kept = kept && promisesKept(metrics);
+            isCorrect = isCorrect && hasNoViolation(metrics);
             print(QStringLiteral("%1, seed %2\n%3\n")
                       .arg(policy)
                       .arg(seed)
                       .arg(metricsTable(metrics)));
         });
     if (!compared)
-        return complain(compared.error().detail);
+        return reportError(compared.error().detail);
     const PolicyComparison &comparison = compared.value();
     print(comparisonTable(comparison));
-    const bool written =
+    const bool areFilesWritten =
         writeFile(command.jsonFile, QJsonDocument(comparisonJson(comparison)).toJson())
         && writeFile(command.plotFile, comparisonSvg(comparison, command.title));
-    if (!written)
-        return ExitBadUse;
-    return kept ? 0 : ExitBroken;
+    if (!areFilesWritten)
+        return ExitUsageError;
+    return isCorrect ? 0 : ExitViolation;
 }
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    setUsage();
+    registerUsage();
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     QCoreApplication application(argc, argv);
-    QList<QString> words;
+    QList<QString> arguments;
     for (int i = 1; i < argc; ++i)
-        words.append(QString::fromLocal8Bit(argv[i]));
-    const auto command = readCommand(words);
+        arguments.append(QString::fromLocal8Bit(argv[i]));
+    const auto command = readCommand(arguments);
     if (!command)
-        return complain(command.error().detail);
-    return command.value().policies.isEmpty() ? runOnce(command.value()) : compare(command.value());
+        return reportError(command.error().detail);
+    return command.value().policies.isEmpty() ? runSeeds(command.value())
+                                              : compare(command.value());
 }
--- a/apps/load/LoadFlags.h
+++ b/apps/load/LoadFlags.h
@@ -1,4 +1,3 @@
-// Defines the command line of cranberry-load.
 #pragma once
 
 #include "base/Result.h"
@@ -9,13 +8,15 @@
 
 namespace cranberry::load {
 
+/// The parsed command line of cranberry-load.
 struct LoadCommand {
     LoadTargets targets;
     TrafficMix mix;
     LoadLimits limits;
     QList<quint64> seeds;
+    /// The service whose placement policy is changed by a comparison.
     QString service;
-    /// Empty unless policies are compared.
+    /// The policies to compare; empty for a plain measurement.
     QList<QString> policies;
     /// Paths of the files to write; empty for none.
     QString jsonFile;
@@ -23,11 +24,11 @@
     QString title;
 };
 
-/// Registers the text of --help.
-void setUsage();
+/// Registers the text of --help with gflags.
+void registerUsage();
 
-/// Reads the flags, which gflags has parsed, and the words left after them.
-/// Error BadRequest: one line that names the flag, what it holds and what is allowed.
-Result<LoadCommand> readCommand(const QList<QString> &words);
+/// Reads the flags and the positional @p arguments. Error BadRequest with a line that names the
+/// flag, the allowed values and the given one. Precondition: gflags has parsed the command line.
+Result<LoadCommand> readCommand(const QList<QString> &arguments);
 
 } // namespace cranberry::load
--- a/apps/load/LoadMetrics.cpp
+++ b/apps/load/LoadMetrics.cpp
@@ -19,7 +19,7 @@
             {QStringLiteral("p95_ms"), times.quantile(0.95)},
             {QStringLiteral("p99_ms"), times.quantile(0.99)},
             {QStringLiteral("p99_9_ms"), times.quantile(0.999)},
-            {QStringLiteral("max_ms"), times.largest()}};
+            {QStringLiteral("max_ms"), times.max()}};
 }
 
 QJsonObject countsJson(const QMap<QString, int> &counts)
@@ -53,7 +53,7 @@
         .arg(times.quantile(0.95), 9, 'f', 1)
         .arg(times.quantile(0.99), 9, 'f', 1)
         .arg(times.quantile(0.999), 9, 'f', 1)
-        .arg(times.largest(), 9, 'f', 1);
+        .arg(times.max(), 9, 'f', 1);
 }
 
 QString kindsText(const QMap<QString, int> &counts)
--- a/apps/load/LoadRun.cpp
+++ b/apps/load/LoadRun.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A balancer sends to the next entry VM when one accepts no connection.
-constexpr int MostTrials = 3;
+/// Like a load balancer, a request moves on to the next entry VM if a connection is not accepted.
+constexpr int MaxConnectAttempts = 3;
 
 QByteArray completionBody(const TrafficMix &mix, const PlannedRequest &planned)
 {
@@ -49,31 +49,32 @@
 
 LoadRun::~LoadRun() = default;
 
-void LoadRun::run(Milliseconds patience)
+void LoadRun::run(Milliseconds answerTimeout)
 {
     m_start = m_timers.now();
-    m_patience = m_timers.after(m_mix.duration + patience, [this] { m_loop.quit(); });
-    m_arrival = m_timers.after(Milliseconds(0), [this] { sendDue(); });
+    m_timeoutTimer = m_timers.after(m_mix.duration + answerTimeout, [this] { m_loop.quit(); });
+    m_arrivalTimer = m_timers.after(Milliseconds(0), [this] { sendDueRequests(); });
     m_loop.exec();
     m_exchanges.clear();
 }
 
-void LoadRun::sendDue()
+void LoadRun::sendDueRequests()
 {
     const MonotonicTime now = m_timers.now();
-    while (m_next < m_results.size() && m_start + m_results[m_next].request.at <= now) {
-        const MonotonicTime due = m_start + m_results[m_next].request.at;
-        m_lags.push_back(std::chrono::duration<double, std::milli>(now - due).count());
+    while (m_next < m_results.size() && m_start + m_results[m_next].request.sendOffset <= now) {
+        const MonotonicTime due = m_start + m_results[m_next].request.sendOffset;
+        m_sendLags.push_back(std::chrono::duration<double, std::milli>(now - due).count());
         m_results[m_next].sentAt = now;
-        ++m_underWay;
+        ++m_inFlight;
         send(m_next, 0);
         ++m_next;
     }
     if (m_next < m_results.size()) {
-        const auto wait = std::chrono::ceil<Milliseconds>(m_start + m_results[m_next].request.at
-                                                          - m_timers.now());
-        m_arrival = m_timers.after(std::max(wait, Milliseconds(0)), [this] { sendDue(); });
-    } else if (m_underWay == 0) {
+        const auto delay = std::chrono::ceil<Milliseconds>(
+            m_start + m_results[m_next].request.sendOffset - m_timers.now());
+        m_arrivalTimer =
+            m_timers.after(std::max(delay, Milliseconds(0)), [this] { sendDueRequests(); });
+    } else if (m_inFlight == 0) {
         m_loop.quit();
     }
 }
@@ -94,17 +95,17 @@
         request.body = planned.prompt.toUtf8();
         return request;
     }
-    const bool chat = planned.kind == RequestKind::Chat;
-    request.path = chat ? "/v1/chat/completions" : "/v1/completions";
+    const bool isChat = planned.kind == RequestKind::Chat;
+    request.path = isChat ? "/v1/chat/completions" : "/v1/completions";
     request.body = completionBody(m_mix, planned);
     return request;
 }
 
-void LoadRun::send(std::size_t index, int trial)
+void LoadRun::send(std::size_t index, int attempt)
 {
     RequestResult &result = m_results[index];
     const quint64 gateways = quint64(m_targets.gateways.size());
-    const auto entry = qsizetype((result.request.entry + quint64(trial)) % gateways);
+    const auto gatewayIndex = qsizetype((result.request.gatewayDraw + quint64(attempt)) % gateways);
     HttpExchangeCallbacks callbacks;
     callbacks.headers = [&result](int status, const HttpHeaders &headers) {
         result.response.status = status;
@@ -116,32 +117,32 @@
         else
             result.response.body += data;
     };
-    callbacks.finished = [this, index, trial](HttpExchangeEnd end, const QString &) {
-        finished(index, trial, end);
+    callbacks.finished = [this, index, attempt](HttpExchangeEnd end, const QString &) {
+        handleEnd(index, attempt, end);
     };
-    m_exchanges[index] = m_client.send(m_targets.gateways.at(entry),
+    m_exchanges[index] = m_client.send(m_targets.gateways.at(gatewayIndex),
                                        requestFor(result.request, index), {}, std::move(callbacks));
 }
 
-void LoadRun::finished(std::size_t index, int trial, HttpExchangeEnd end)
+void LoadRun::handleEnd(std::size_t index, int attempt, HttpExchangeEnd end)
 {
-    if (end == HttpExchangeEnd::NotConnected && trial + 1 < MostTrials) {
-        send(index, trial + 1);
+    if (end == HttpExchangeEnd::NotConnected && attempt + 1 < MaxConnectAttempts) {
+        send(index, attempt + 1);
         return;
     }
     RequestResult &result = m_results[index];
-    result.ended = true;
+    result.hasEnded = true;
     result.end = end;
     result.endedAt = m_timers.now();
-    --m_underWay;
-    if (m_underWay == 0 && m_next == m_results.size())
+    --m_inFlight;
+    if (m_inFlight == 0 && m_next == m_results.size())
         m_loop.quit();
 }
 
 void LoadRun::recordLag(LoadMetrics &metrics) const
 {
-    for (const double lag : m_lags)
-        metrics.sendLag.add(lag);
+    for (const double sendLag : m_sendLags)
+        metrics.sendLag.add(sendLag);
 }
 
 } // namespace cranberry::load
--- a/apps/load/LoadRun.h
+++ b/apps/load/LoadRun.h
@@ -1,4 +1,3 @@
-// Defines LoadRun, which sends the requests of a plan at their times.
 #pragma once
 
 #include "http/HttpClient.h"
@@ -15,12 +14,12 @@
 
 struct LoadMetrics;
 
-/// An open loop: arrivals do not wait for answers.
+/// Sends the requests of a plan at their times as an open loop: arrivals do not wait for answers.
 /// Thread safety: only from one thread with an event loop.
 class LoadRun
 {
 public:
-    /// @p nonce makes the idempotency keys of this run unlike those of any other.
+    /// @p nonce makes the idempotency keys of this run distinct from those of other runs.
     /// Precondition: the references outlive the run.
     LoadRun(TimerService &timers, HttpClient &client, const LoadTargets &targets,
             const TrafficMix &mix, QList<PlannedRequest> plan, QByteArray nonce);
@@ -28,20 +27,20 @@
     LoadRun(const LoadRun &) = delete;
     LoadRun &operator=(const LoadRun &) = delete;
 
-    /// Sends everything and returns when all is answered, or @p patience after the last
-    /// arrival. May be called once.
-    void run(Milliseconds patience);
+    /// Sends all requests, and returns when every one has ended or @p answerTimeout after the end
+    /// of the arrival period, whichever is first. Runs an event loop. May be called only once.
+    void run(Milliseconds answerTimeout);
 
     /// The results, in the order of the plan. Precondition: run() has returned.
     const std::vector<RequestResult> &results() const { return m_results; }
 
-    /// Adds how late requests were sent to @p metrics.
+    /// Adds the send delays of the requests to @p metrics.
     void recordLag(LoadMetrics &metrics) const;
 
 private:
-    void sendDue();
-    void send(std::size_t index, int trial);
-    void finished(std::size_t index, int trial, HttpExchangeEnd end);
+    void sendDueRequests();
+    void send(std::size_t index, int attempt);
+    void handleEnd(std::size_t index, int attempt, HttpExchangeEnd end);
     HttpRequest requestFor(const PlannedRequest &planned, std::size_t index) const;
 
     TimerService &m_timers;
@@ -52,12 +51,12 @@
     const QByteArray m_nonce;
     MonotonicTime m_start;
     std::size_t m_next = 0;
-    int m_underWay = 0;
+    int m_inFlight = 0;
     std::vector<RequestResult> m_results;
     std::vector<std::unique_ptr<HttpExchange>> m_exchanges;
-    std::vector<double> m_lags;
-    std::unique_ptr<TimerSubscription> m_arrival;
-    std::unique_ptr<TimerSubscription> m_patience;
+    std::vector<double> m_sendLags;
+    std::unique_ptr<TimerSubscription> m_arrivalTimer;
+    std::unique_ptr<TimerSubscription> m_timeoutTimer;
     QEventLoop m_loop;
 };
 
--- a/apps/load/LoadSession.cpp
+++ b/apps/load/LoadSession.cpp
@@ -16,7 +16,7 @@
     const TargetCounts before = readCounts(client, targets);
     const QByteArray nonce = QUuid::createUuid().toByteArray(QUuid::WithoutBraces);
     LoadRun run(client.timers(), client.http(), targets, mix, planArrivals(mix, seed), nonce);
-    run.run(limits.patience);
+    run.run(limits.answerTimeout);
     const TargetCounts after = readCounts(client, targets);
     LoadMetrics metrics;
     for (const RequestResult &result : run.results()) {
--- a/apps/load/LoadSession.h
+++ b/apps/load/LoadSession.h
@@ -1,4 +1,3 @@
-// Defines how one load is run and measured from start to end.
 #pragma once
 
 #include "base/Units.h"
@@ -8,14 +7,15 @@
 
 namespace cranberry::load {
 
+/// Time limits of a load.
 struct LoadLimits {
-    /// A gap between tokens that is longer counts as stall time.
+    /// A longer gap between tokens counts as stall time.
     Milliseconds stallThreshold{250};
-    /// Time after the last arrival in which answers may still come.
-    Milliseconds patience{30'000};
+    /// Time after the arrival period for the pending answers to complete.
+    Milliseconds answerTimeout{30'000};
 };
 
-/// Runs the load drawn from @p seed and measures it. Runs an event loop until it is over.
+/// Runs the load drawn from @p seed and measures it. Runs an event loop until the load has ended.
 /// Precondition: there is a QCoreApplication and at least one gateway.
 LoadMetrics runLoad(const LoadTargets &targets, const TrafficMix &mix, quint64 seed,
                     const LoadLimits &limits);
--- a/apps/load/LoadTargets.h
+++ b/apps/load/LoadTargets.h
@@ -1,4 +1,3 @@
-// Defines LoadTargets, where a load goes and what is asked about it.
 #pragma once
 
 #include "http/HttpEndpoint.h"
@@ -8,12 +7,13 @@
 
 namespace cranberry::load {
 
+/// Endpoints of the fleet under load.
 struct LoadTargets {
-    /// Entry VMs, among which a balancer would choose.
+    /// Entry VMs over which the requests are spread, as by a load balancer.
     QList<HttpEndpoint> gateways;
-    /// Stand-in targets, asked for preemptions and runs; may be empty.
+    /// Stand-in targets, queried for preemptions and runs; may be empty.
     QList<HttpEndpoint> targets;
-    /// Of the operator; only needed to change the policy.
+    /// The operator token; only needed to change the placement policy.
     QByteArray operatorToken;
 };
 
--- a/apps/load/PlannedRequest.h
+++ b/apps/load/PlannedRequest.h
@@ -1,4 +1,3 @@
-// Defines PlannedRequest, one request of a load before it is sent.
 #pragma once
 
 #include "base/Units.h"
@@ -8,28 +7,32 @@
 
 namespace cranberry::load {
 
+/// The API that a request uses.
 enum class RequestKind {
     Completion,
     Chat,
     Plain,
 };
 
+/// A request of a load before it is sent.
 struct PlannedRequest {
-    /// When it is sent, counted from the start of the load.
-    Milliseconds at{0};
+    /// Send time relative to the start of the load.
+    Milliseconds sendOffset{0};
     RequestKind kind = RequestKind::Completion;
     int workspace = 0;
-    /// Unlike that of any other request of the same seed; the body of a plain call.
+    /// Unique among the requests of one seed. For a plain call, this is the body.
     QString prompt;
     int maxTokens = 0;
     bool atMostOnce = false;
+    /// Zero for no deadline.
     Milliseconds deadline{0};
-    /// Random number by which the balancer chooses the entry VM.
-    quint64 entry = 0;
+    /// Random number that selects the entry VM.
+    quint64 gatewayDraw = 0;
 };
 
-/// The prompt as the engine sees it: a chat prompt reaches it as the text of its one message.
-inline QString promptSeen(const PlannedRequest &request)
+/// Returns the prompt as the engine receives it: the single message of a chat is formatted with its
+/// role. Thread-safe.
+inline QString enginePrompt(const PlannedRequest &request)
 {
     return request.kind == RequestKind::Chat ? QStringLiteral("user: %1\n").arg(request.prompt)
                                              : request.prompt;
--- a/apps/load/PolicyCampaign.cpp
+++ b/apps/load/PolicyCampaign.cpp
@@ -14,7 +14,8 @@
         comparison.append({policy, {}});
     for (qsizetype round = 0; round < campaign.seeds.size(); ++round) {
         const quint64 seed = campaign.seeds.at(round);
-        // The first policy of a round meets the coldest caches: each takes its turn.
+        // The first policy of a round runs with the coldest caches, so the order rotates from
+        // round to round.
         for (qsizetype i = 0; i < comparison.size(); ++i) {
             PolicyRuns &policy = comparison[(i + round) % comparison.size()];
             BOOST_OUTCOME_TRY(switchPolicy(campaign.targets, campaign.service, policy.policy));
--- a/apps/load/PolicyCampaign.h
+++ b/apps/load/PolicyCampaign.h
@@ -1,4 +1,3 @@
-// Defines how several policies are measured in turn on the same arrivals.
 #pragma once
 
 #include "base/Result.h"
@@ -9,6 +8,7 @@
 
 namespace cranberry::load {
 
+/// Parameters of a comparison of policies on the same arrivals.
 struct PolicyCampaign {
     LoadTargets targets;
     TrafficMix mix;
@@ -18,9 +18,9 @@
     QList<quint64> seeds;
 };
 
-/// Runs every policy once a seed; @p onRun is told each measurement as it is there. Runs an
-/// event loop until all is over. Error as of switchPolicy().
-/// Precondition: as of runLoad(); there are policies and seeds.
+/// Measures every policy once per seed and calls @p onRun after each measurement. Runs an event
+/// loop until the last run has ended. Returns the error of switchPolicy() if one occurs.
+/// Precondition: that of runLoad(), and at least one policy and one seed.
 Result<PolicyComparison> comparePolicies(
     const PolicyCampaign &campaign,
     const std::function<void(const QString &policy, quint64 seed, const LoadMetrics &metrics)>
--- a/apps/load/PolicyComparison.cpp
+++ b/apps/load/PolicyComparison.cpp
@@ -11,7 +11,7 @@
 
 struct Measure {
     const char *name;
-    bool moreIsBetter;
+    bool isHigherBetter;
     double (*value)(const LoadMetrics &metrics);
 };
 
@@ -31,7 +31,7 @@
     {"failed", false, [](const LoadMetrics &m) { return double(m.failed + m.unfinished); }},
 };
 
-const Measure &measureNamed(const QString &name)
+const Measure &findMeasure(const QString &name)
 {
     return *std::find_if(std::begin(Measures), std::end(Measures), [&](const Measure &measure) {
         return name == QLatin1String(measure.name);
@@ -46,7 +46,7 @@
                                   : (values.at(middle - 1) + values.at(middle)) / 2;
 }
 
-QList<double> valuesOf(const PolicyRuns &policy, const Measure &measure)
+QList<double> measureValues(const PolicyRuns &policy, const Measure &measure)
 {
     QList<double> values;
     for (const LoadMetrics &run : policy.runs)
@@ -54,7 +54,7 @@
     return values;
 }
 
-/// The policy to measure against: the best of the others than forecast, if there are any.
+/// The policy with the best median of @p measure. "forecast" is left out unless it is the only one.
 const PolicyRuns &bestBaseline(const PolicyComparison &comparison, const Measure &measure)
 {
     const PolicyRuns *best = nullptr;
@@ -62,9 +62,9 @@
     for (const PolicyRuns &policy : comparison) {
         if (policy.policy == QLatin1String("forecast") && comparison.size() > 1)
             continue;
-        const double median = medianOf(valuesOf(policy, measure));
-        const bool better = measure.moreIsBetter ? median > bestMedian : median < bestMedian;
-        if (!best || better) {
+        const double median = medianOf(measureValues(policy, measure));
+        const bool isBetter = measure.isHigherBetter ? median > bestMedian : median < bestMedian;
+        if (!best || isBetter) {
             best = &policy;
             bestMedian = median;
         }
@@ -72,7 +72,7 @@
     return *best;
 }
 
-const PolicyRuns &policyNamed(const PolicyComparison &comparison, const QString &name)
+const PolicyRuns &findPolicy(const PolicyComparison &comparison, const QString &name)
 {
     return *std::find_if(comparison.begin(), comparison.end(),
                          [&](const PolicyRuns &policy) { return policy.policy == name; });
@@ -84,8 +84,8 @@
         return QStringLiteral("-");
     return QStringLiteral("%1 (%2-%3)")
         .arg(compared.ratio, 0, 'f', 2)
-        .arg(compared.leastRatio, 0, 'f', 2)
-        .arg(compared.mostRatio, 0, 'f', 2);
+        .arg(compared.minRatio, 0, 'f', 2)
+        .arg(compared.maxRatio, 0, 'f', 2);
 }
 
 } // namespace
@@ -101,23 +101,24 @@
 ComparedMeasure compareMeasure(const PolicyComparison &comparison, const QString &policy,
                                const QString &measure)
 {
-    const Measure &compared = measureNamed(measure);
-    const QList<double> values = valuesOf(policyNamed(comparison, policy), compared);
-    const QList<double> base = valuesOf(bestBaseline(comparison, compared), compared);
+    const Measure &compared = findMeasure(measure);
+    const QList<double> values = measureValues(findPolicy(comparison, policy), compared);
+    const QList<double> baselineValues =
+        measureValues(bestBaseline(comparison, compared), compared);
     ComparedMeasure result;
     result.median = medianOf(values);
-    result.least = *std::min_element(values.begin(), values.end());
-    result.most = *std::max_element(values.begin(), values.end());
+    result.min = *std::min_element(values.begin(), values.end());
+    result.max = *std::max_element(values.begin(), values.end());
     QList<double> ratios;
-    for (qsizetype i = 0; i < std::min(values.size(), base.size()); ++i) {
-        if (base.at(i) > 0)
-            ratios.append(values.at(i) / base.at(i));
+    for (qsizetype i = 0; i < std::min(values.size(), baselineValues.size()); ++i) {
+        if (baselineValues.at(i) > 0)
+            ratios.append(values.at(i) / baselineValues.at(i));
     }
     if (ratios.isEmpty())
         return result;
     result.ratio = medianOf(ratios);
-    result.leastRatio = *std::min_element(ratios.begin(), ratios.end());
-    result.mostRatio = *std::max_element(ratios.begin(), ratios.end());
+    result.minRatio = *std::min_element(ratios.begin(), ratios.end());
+    result.maxRatio = *std::max_element(ratios.begin(), ratios.end());
     return result;
 }
 
@@ -125,7 +126,7 @@
 {
     QString text;
     QTextStream out(&text);
-    out << "median over seeds, then the ratio to the best baseline (least-most over seeds)\n";
+    out << "median over seeds, then the ratio to the best baseline (min-max over seeds)\n";
     out << QStringLiteral("%1").arg(QString(), -22);
     for (const PolicyRuns &policy : comparison)
         out << QStringLiteral("%1").arg(policy.policy, -32);
@@ -153,11 +154,11 @@
         for (const QString &name : names) {
             const ComparedMeasure compared = compareMeasure(comparison, policy.policy, name);
             QJsonObject measure{{QStringLiteral("median"), compared.median},
-                                {QStringLiteral("least"), compared.least},
-                                {QStringLiteral("most"), compared.most}};
+                                {QStringLiteral("least"), compared.min},
+                                {QStringLiteral("most"), compared.max}};
             if (compared.ratio >= 0) {
                 measure.insert(QStringLiteral("ratio_to_best_baseline"),
-                               QJsonArray{compared.ratio, compared.leastRatio, compared.mostRatio});
+                               QJsonArray{compared.ratio, compared.minRatio, compared.maxRatio});
             }
             measures.insert(name, measure);
         }
--- a/apps/load/PolicyComparison.h
+++ b/apps/load/PolicyComparison.h
@@ -1,4 +1,3 @@
-// Defines PolicyComparison, the measurements of several policies on the same arrivals.
 #pragma once
 
 #include "load/LoadMetrics.h"
@@ -15,29 +14,33 @@
     QList<LoadMetrics> runs;
 };
 
+/// The measurements of several policies on the same arrivals.
 using PolicyComparison = QList<PolicyRuns>;
 
-/// One measure over the seeds of one policy, and against the best other policy.
+/// One measure of one policy over all seeds, and relative to the best baseline.
 struct ComparedMeasure {
     double median = 0;
-    double least = 0;
-    double most = 0;
-    /// Median, least and most of the ratios seed by seed to the best baseline; negative if the
-    /// baseline is zero.
+    double min = 0;
+    double max = 0;
+    /// Median, minimum and maximum over the seeds of the ratio to the best baseline. Seeds with a
+    /// baseline of zero are left out; negative if none remains.
     double ratio = -1;
-    double leastRatio = -1;
-    double mostRatio = -1;
+    double minRatio = -1;
+    double maxRatio = -1;
 };
 
-/// The names of the measures that are compared, in the order of the table.
+/// The names of the compared measures in table order. Thread-safe.
 QList<QString> measureNames();
 
-/// @p measure of @p policy. The best baseline is the policy other than "forecast" with the
-/// best median. Precondition: the policy is in the comparison with at least one run.
+/// Compares @p measure of @p policy with the best baseline, the policy other than "forecast" with
+/// the best median. Thread-safe. Precondition: @p policy is in @p comparison with at least one run,
+/// and @p measure is one of measureNames().
 ComparedMeasure compareMeasure(const PolicyComparison &comparison, const QString &policy,
                                const QString &measure);
 
+/// Formats @p comparison as a human-readable table. Thread-safe.
 QString comparisonTable(const PolicyComparison &comparison);
+/// Formats @p comparison for the JSON report. Thread-safe.
 QJsonObject comparisonJson(const PolicyComparison &comparison);
 
 } // namespace cranberry::load
--- a/apps/load/PolicySwitch.cpp
+++ b/apps/load/PolicySwitch.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-Error faultOf(const QString &detail)
+Error badRequest(const QString &detail)
 {
     Error error;
     error.kind = ErrorKind::BadRequest;
@@ -20,8 +20,8 @@
     return answer.response.headers.value("ETag").replace('"', "").toLongLong();
 }
 
-bool inForceEverywhere(test::FleetClient &client, const LoadTargets &targets,
-                       const HttpHeaders &headers, qint64 version)
+bool isInForceEverywhere(test::FleetClient &client, const LoadTargets &targets,
+                         const HttpHeaders &headers, qint64 version)
 {
     for (const HttpEndpoint &gateway : targets.gateways) {
         const test::FleetAnswer answer = client.get(gateway, "/v1/configuration", headers);
@@ -40,29 +40,29 @@
     const HttpEndpoint gateway = targets.gateways.first();
     const test::FleetAnswer current = client.get(gateway, "/v1/configuration", headers);
     if (!current.is(200))
-        return faultOf(QStringLiteral("cannot read the configuration: status %1 %2")
-                           .arg(current.response.status)
-                           .arg(QString::fromUtf8(current.response.body)));
+        return badRequest(QStringLiteral("cannot read the configuration: status %1 %2")
+                              .arg(current.response.status)
+                              .arg(QString::fromUtf8(current.response.body)));
     QJsonObject document = current.json;
     QJsonObject services = document.value(QLatin1String("services")).toObject();
-    QJsonObject changed = services.value(service).toObject();
-    changed.insert(QStringLiteral("policy"), policy);
-    services.insert(service, changed);
+    QJsonObject updatedService = services.value(service).toObject();
+    updatedService.insert(QStringLiteral("policy"), policy);
+    services.insert(service, updatedService);
     document.insert(QStringLiteral("services"), services);
     if (document == current.json)
         return outcome::success();
-    HttpHeaders put = headers;
-    put.add("If-Match", current.response.headers.value("ETag"));
-    const test::FleetAnswer taken =
-        client.sendJson(gateway, "PUT", "/v1/configuration", document, put);
-    if (!taken.is(200))
-        return faultOf(QStringLiteral("policy %1 was not taken: status %2 %3")
-                           .arg(policy)
-                           .arg(taken.response.status)
-                           .arg(QString::fromUtf8(taken.response.body)));
+    HttpHeaders putHeaders = headers;
+    putHeaders.add("If-Match", current.response.headers.value("ETag"));
+    const test::FleetAnswer response =
+        client.sendJson(gateway, "PUT", "/v1/configuration", document, putHeaders);
+    if (!response.is(200))
+        return badRequest(QStringLiteral("policy %1 was not accepted: status %2 %3")
+                              .arg(policy)
+                              .arg(response.response.status)
+                              .arg(QString::fromUtf8(response.response.body)));
     const qint64 version = versionOf(current) + 1;
-    if (!test::waitFor([&] { return inForceEverywhere(client, targets, headers, version); }))
-        return faultOf(QStringLiteral("policy %1 is not in force everywhere").arg(policy));
+    if (!test::waitFor([&] { return isInForceEverywhere(client, targets, headers, version); }))
+        return badRequest(QStringLiteral("policy %1 is not in force at every gateway").arg(policy));
     return outcome::success();
 }
 
--- a/apps/load/PolicySwitch.h
+++ b/apps/load/PolicySwitch.h
@@ -1,4 +1,3 @@
-// Defines how the placement policy of a running fleet is changed.
 #pragma once
 
 #include "base/Result.h"
@@ -8,9 +7,10 @@
 
 namespace cranberry::load {
 
-/// Puts the configuration with @p policy for @p service in, and waits until every gateway
-/// that answers has that version in force. Runs the event loop while it waits.
-/// Error BadRequest says what went wrong.
+/// Sets the placement policy of @p service to @p policy in the configuration of a running fleet,
+/// and waits until the new version is in force at every gateway that responds. Runs the event loop
+/// while it waits. Error BadRequest with the cause if the configuration cannot be read or changed,
+/// or is not in force before the timeout.
 Result<void> switchPolicy(const LoadTargets &targets, const QString &service,
                           const QString &policy);
 
--- a/apps/load/RequestResult.cpp
+++ b/apps/load/RequestResult.cpp
@@ -14,16 +14,17 @@
     return std::chrono::duration<double, std::milli>(to - from).count();
 }
 
-QJsonObject problemOf(const RequestResult &result)
+/// The error event of the stream if there was one, otherwise the response body.
+QJsonObject responseJson(const RequestResult &result)
 {
     if (!result.answer.error().isEmpty())
         return result.answer.error();
     return QJsonDocument::fromJson(result.response.body).object();
 }
 
-QString kindOf(const RequestResult &result)
+QString failureKind(const RequestResult &result)
 {
-    QString kind = problemOf(result).value(QLatin1String("kind")).toString();
+    QString kind = responseJson(result).value(QLatin1String("kind")).toString();
     if (!kind.isEmpty())
         return kind;
     switch (result.end) {
@@ -41,8 +42,8 @@
     return QStringLiteral("status_%1").arg(result.response.status);
 }
 
-/// Counts tokens whose numbers are missing or come again.
-void recordNumbers(LoadMetrics &metrics, const QList<test::ReceivedToken> &tokens)
+/// Counts lost and duplicate tokens by their sequence numbers.
+void recordTokenOrder(LoadMetrics &metrics, const QList<test::ReceivedToken> &tokens)
 {
     int next = 0;
     for (const test::ReceivedToken &token : tokens) {
@@ -61,28 +62,29 @@
     if (tokens.isEmpty())
         return;
     WorkspaceMetrics &workspace = metrics.workspaces[result.request.workspace];
-    const double first = millisecondsBetween(result.sentAt, tokens.first().at);
-    metrics.firstToken.add(first);
-    workspace.firstToken.add(first);
-    double stall = 0;
+    const double firstTokenMs = millisecondsBetween(result.sentAt, tokens.first().at);
+    metrics.firstToken.add(firstTokenMs);
+    workspace.firstToken.add(firstTokenMs);
+    double stallMs = 0;
     for (int i = 1; i < tokens.size(); ++i) {
         const double gap = millisecondsBetween(tokens.at(i - 1).at, tokens.at(i).at);
         metrics.betweenTokens.add(gap);
         if (gap > double(stallThreshold.count()))
-            stall += gap;
+            stallMs += gap;
     }
     ++metrics.streams;
-    metrics.stalledStreams += stall > 0 ? 1 : 0;
-    metrics.stallMs += stall;
-    metrics.worstStallMs = std::max(metrics.worstStallMs, stall);
-    workspace.stallMs += stall;
+    metrics.stalledStreams += stallMs > 0 ? 1 : 0;
+    metrics.stallMs += stallMs;
+    metrics.worstStallMs = std::max(metrics.worstStallMs, stallMs);
+    workspace.stallMs += stallMs;
     workspace.tokens += tokens.size();
     metrics.tokens += tokens.size();
 }
 
-bool textIsRight(LoadMetrics &metrics, const RequestResult &result)
+/// True if the text is that of the request; otherwise counts the error.
+bool checkText(LoadMetrics &metrics, const RequestResult &result)
 {
-    switch (test::checkAnswer(promptSeen(result.request), result.answer.texts())) {
+    switch (test::checkAnswer(enginePrompt(result.request), result.answer.texts())) {
     case test::AnswerFault::None:
         return true;
     case test::AnswerFault::Crossed:
@@ -96,9 +98,10 @@
     return false;
 }
 
-bool plainIsRight(LoadMetrics &metrics, const RequestResult &result)
+/// True if the answer of a plain call is that of the request; otherwise counts it as crossed.
+bool checkPlainAnswer(LoadMetrics &metrics, const RequestResult &result)
 {
-    const QString hash = problemOf(result).value(QLatin1String("prompt_hash")).toString();
+    const QString hash = responseJson(result).value(QLatin1String("prompt_hash")).toString();
     if (hash.toUtf8() == test::promptHash(result.request.prompt))
         return true;
     ++metrics.crossed;
@@ -107,71 +110,72 @@
 
 void recordWhole(LoadMetrics &metrics, const RequestResult &result)
 {
-    const double took = millisecondsBetween(result.sentAt, result.endedAt);
+    const double durationMs = millisecondsBetween(result.sentAt, result.endedAt);
     const qint64 deadline = result.request.deadline.count();
-    const bool inDeadline = deadline == 0 || took <= double(deadline);
+    const bool isInDeadline = deadline == 0 || durationMs <= double(deadline);
     const qint64 tokens = result.answer.tokens().size();
     ++metrics.whole;
     ++metrics.workspaces[result.request.workspace].whole;
     metrics.wholeTokens += tokens;
-    metrics.wholeInDeadline += inDeadline ? 1 : 0;
-    metrics.wholeTokensInDeadline += inDeadline ? tokens : 0;
+    metrics.wholeInDeadline += isInDeadline ? 1 : 0;
+    metrics.wholeTokensInDeadline += isInDeadline ? tokens : 0;
     if (result.request.kind == RequestKind::Plain)
-        metrics.plainCalls.add(took);
+        metrics.plainCalls.add(durationMs);
 }
 
 void recordFailure(LoadMetrics &metrics, const RequestResult &result)
 {
-    const bool answered =
+    const bool isAnswered =
         result.end == HttpExchangeEnd::Complete || result.end == HttpExchangeEnd::NotConnected;
-    const bool begun = !result.answer.tokens().isEmpty() || !answered;
-    if (begun) {
+    const bool hasStarted = !result.answer.tokens().isEmpty() || !isAnswered;
+    if (hasStarted) {
         ++metrics.failed;
-        ++metrics.failedByKind[kindOf(result)];
+        ++metrics.failedByKind[failureKind(result)];
         return;
     }
     ++metrics.refused;
     ++metrics.workspaces[result.request.workspace].refused;
-    ++metrics.refusedByKind[kindOf(result)];
+    ++metrics.refusedByKind[failureKind(result)];
 }
 
 } // namespace
 
-bool toldNotRun(const RequestResult &result)
+bool isReportedNotRun(const RequestResult &result)
 {
-    return result.ended && problemOf(result).value(QLatin1String("ran")).toString() == u"no";
+    return result.hasEnded && responseJson(result).value(QLatin1String("ran")).toString() == u"no";
 }
 
 void recordSteadyTokens(LoadMetrics &metrics, const RequestResult &result, Milliseconds arrivals)
 {
-    const MonotonicTime start = result.sentAt - result.request.at;
+    const MonotonicTime start = result.sentAt - result.request.sendOffset;
     for (const test::ReceivedToken &token : result.answer.tokens())
         metrics.steadyTokens += token.at >= start + arrivals / 2 && token.at < start + arrivals;
 }
 
 void recordResult(LoadMetrics &metrics, const RequestResult &result, Milliseconds stallThreshold)
 {
-    const bool plain = result.request.kind == RequestKind::Plain;
+    const bool isPlain = result.request.kind == RequestKind::Plain;
     ++metrics.requests;
     ++metrics.workspaces[result.request.workspace].requests;
-    metrics.plainRequests += plain ? 1 : 0;
-    recordNumbers(metrics, result.answer.tokens());
+    metrics.plainRequests += isPlain ? 1 : 0;
+    recordTokenOrder(metrics, result.answer.tokens());
     recordGaps(metrics, result, stallThreshold);
-    const bool right = plain || result.answer.tokens().isEmpty() || textIsRight(metrics, result);
-    if (!result.ended) {
+    const bool isCorrect =
+        isPlain || result.answer.tokens().isEmpty() || checkText(metrics, result);
+    if (!result.hasEnded) {
         ++metrics.unfinished;
         return;
     }
-    const bool complete = result.end == HttpExchangeEnd::Complete && result.response.status == 200
+    const bool isComplete = result.end == HttpExchangeEnd::Complete && result.response.status == 200
         && result.answer.error().isEmpty();
-    if (plain && complete && plainIsRight(metrics, result)) {
+    if (isPlain && isComplete && checkPlainAnswer(metrics, result)) {
         recordWhole(metrics, result);
         return;
     }
-    const bool closed = result.answer.isDone() && !result.answer.finishReason().isEmpty();
-    if (complete && !plain && !closed)
+    const bool isTerminated = result.answer.isDone() && !result.answer.finishReason().isEmpty();
+    if (isComplete && !isPlain && !isTerminated)
         ++metrics.truncated;
-    if (complete && !plain && closed && right && result.answer.idsAreConsecutive())
+    if (isComplete && !isPlain && isTerminated && isCorrect && result.answer.idsAreConsecutive())
         recordWhole(metrics, result);
     else
         recordFailure(metrics, result);
--- a/apps/load/RequestResult.h
+++ b/apps/load/RequestResult.h
@@ -1,4 +1,3 @@
-// Defines RequestResult, how one request of a load ended, and how it is judged.
 #pragma once
 
 #include "base/Units.h"
@@ -11,10 +10,11 @@
 
 struct LoadMetrics;
 
+/// The outcome of one request of a load.
 struct RequestResult {
     PlannedRequest request;
-    /// Empty while it is under way.
-    bool ended = false;
+    /// False while the request is in flight; end and endedAt are then not set.
+    bool hasEnded = false;
     HttpExchangeEnd end = HttpExchangeEnd::NotConnected;
     HttpResponse response;
     test::AnswerReader answer;
@@ -22,14 +22,15 @@
     MonotonicTime endedAt;
 };
 
-/// Adds one result to @p metrics; gaps longer than @p stallThreshold count as stall time.
+/// Classifies @p result and adds it to @p metrics; gaps longer than @p stallThreshold count as
+/// stall time.
 void recordResult(LoadMetrics &metrics, const RequestResult &result, Milliseconds stallThreshold);
 
-/// Adds the tokens of @p result that came in the second half of @p arrivals, the time in which
-/// requests arrive.
+/// Adds the tokens of @p result that were received in the second half of @p arrivals, the length of
+/// the arrival period.
 void recordSteadyTokens(LoadMetrics &metrics, const RequestResult &result, Milliseconds arrivals);
 
-/// True if the caller was told that the request did not run. Thread-safe.
-bool toldNotRun(const RequestResult &result);
+/// True if the response reports that the request did not run. Thread-safe.
+bool isReportedNotRun(const RequestResult &result);
 
 } // namespace cranberry::load
--- a/apps/load/TargetCounts.cpp
+++ b/apps/load/TargetCounts.cpp
@@ -34,7 +34,8 @@
     return count;
 }
 
-qint64 sinceRestart(qint64 before, qint64 after)
+/// The increase of a counter; a smaller value means that the process restarted from zero.
+qint64 increaseSince(qint64 before, qint64 after)
 {
     return after >= before ? after - before : after;
 }
@@ -59,22 +60,22 @@
 {
     QHash<QString, int> runs;
     for (int i = 0; i < after.targets.size(); ++i) {
-        const TargetCount &old = before.targets.at(i);
-        const TargetCount &now = after.targets.at(i);
-        metrics.preemptions += sinceRestart(old.preemptions, now.preemptions);
-        metrics.generatedTokens += sinceRestart(old.tokens, now.tokens);
-        for (auto run = now.runs.begin(); run != now.runs.end(); ++run)
-            runs[run.key()] += int(sinceRestart(old.runs.value(run.key()), run.value()));
+        const TargetCount &oldCount = before.targets.at(i);
+        const TargetCount &newCount = after.targets.at(i);
+        metrics.preemptions += increaseSince(oldCount.preemptions, newCount.preemptions);
+        metrics.generatedTokens += increaseSince(oldCount.tokens, newCount.tokens);
+        for (auto run = newCount.runs.begin(); run != newCount.runs.end(); ++run)
+            runs[run.key()] += int(increaseSince(oldCount.runs.value(run.key()), run.value()));
     }
-    metrics.retries += sinceRestart(before.retries, after.retries);
-    metrics.resumes += sinceRestart(before.resumes, after.resumes);
+    metrics.retries += increaseSince(before.retries, after.retries);
+    metrics.resumes += increaseSince(before.resumes, after.resumes);
     if (after.targets.isEmpty())
         return;
     for (const RequestResult &result : results) {
         const int count =
-            runs.value(QString::fromLatin1(test::promptHash(promptSeen(result.request))));
+            runs.value(QString::fromLatin1(test::promptHash(enginePrompt(result.request))));
         metrics.ranTwice += result.request.atMostOnce && count > 1 ? 1 : 0;
-        metrics.ranThoughRefused += toldNotRun(result) && count > 0 ? 1 : 0;
+        metrics.ranThoughRefused += isReportedNotRun(result) && count > 0 ? 1 : 0;
     }
 }
 
--- a/apps/load/TimeHistogram.cpp
+++ b/apps/load/TimeHistogram.cpp
@@ -7,22 +7,22 @@
 namespace {
 
 constexpr unsigned Bins = 1000;
-constexpr double LeastMs = 0.1;
-constexpr double MostMs = 100'000;
+constexpr double MinMs = 0.1;
+constexpr double MaxMs = 100'000;
 
 } // namespace
 
 TimeHistogram::TimeHistogram()
-    : m_histogram(boost::histogram::make_histogram(Axis(Bins, LeastMs, MostMs)))
+    : m_histogram(boost::histogram::make_histogram(Axis(Bins, MinMs, MaxMs)))
 {
 }
 
 void TimeHistogram::add(double milliseconds)
 {
-    m_histogram(std::clamp(milliseconds, LeastMs, MostMs * 0.999));
+    m_histogram(std::clamp(milliseconds, MinMs, MaxMs * 0.999));
     ++m_count;
     m_sum += milliseconds;
-    m_largest = std::max(m_largest, milliseconds);
+    m_max = std::max(m_max, milliseconds);
 }
 
 void TimeHistogram::add(const TimeHistogram &other)
@@ -30,7 +30,7 @@
     m_histogram += other.m_histogram;
     m_count += other.m_count;
     m_sum += other.m_sum;
-    m_largest = std::max(m_largest, other.m_largest);
+    m_max = std::max(m_max, other.m_max);
 }
 
 double TimeHistogram::quantile(double quantile) const
@@ -39,9 +39,9 @@
     for (const auto &bin : boost::histogram::indexed(m_histogram)) {
         seen += double(*bin);
         if (seen > 0 && seen >= quantile * double(m_count))
-            return std::min(bin.bin().upper(), m_largest);
+            return std::min(bin.bin().upper(), m_max);
     }
-    return m_largest;
+    return m_max;
 }
 
 QList<TimeHistogram::Point> TimeHistogram::tail() const
--- a/apps/load/TimeHistogram.h
+++ b/apps/load/TimeHistogram.h
@@ -1,4 +1,3 @@
-// Defines TimeHistogram, a fine distribution of times for comparing policies.
 #pragma once
 
 #include <QList>
@@ -7,14 +6,14 @@
 
 namespace cranberry::load {
 
-/// Times in milliseconds on a logarithmic axis whose bins are 1.4% wide.
+/// A histogram of times in milliseconds with logarithmic bins, each 1.4% wide.
 /// Thread safety: a value type.
 class TimeHistogram
 {
 public:
     struct Point {
         double milliseconds = 0;
-        /// Share of all times that are longer.
+        /// Share of the recorded times that are longer.
         double shareAbove = 0;
     };
 
@@ -24,12 +23,12 @@
     void add(const TimeHistogram &other);
 
     qint64 count() const { return m_count; }
-    /// Upper edge of the bin that holds @p quantile; 0 if there are no times.
+    /// Upper edge of the bin that holds @p quantile, at most max(); 0 if the histogram is empty.
     double quantile(double quantile) const;
-    double largest() const { return m_largest; }
+    double max() const { return m_max; }
     double mean() const { return m_count == 0 ? 0 : m_sum / double(m_count); }
-    /// The share of longer times at each bin's upper edge, from the first bin with a time to the
-    /// last.
+    /// The complementary cumulative distribution: the share of longer times at the upper edge of
+    /// each bin that is not empty, in ascending order.
     QList<Point> tail() const;
 
 private:
@@ -39,7 +38,7 @@
     Histogram m_histogram;
     qint64 m_count = 0;
     double m_sum = 0;
-    double m_largest = 0;
+    double m_max = 0;
 };
 
 } // namespace cranberry::load
--- a/apps/load/TrafficMix.h
+++ b/apps/load/TrafficMix.h
@@ -1,4 +1,3 @@
-// Defines TrafficMix, what kind of requests a load consists of.
 #pragma once
 
 #include "base/Units.h"
@@ -9,24 +8,26 @@
 
 namespace cranberry::load {
 
+/// The composition of a load.
 struct TrafficMix {
-    /// Keys of the workspaces; the first largeWorkspaces of them send largeFactor times as much
-    /// as each of the others.
+    /// API keys, one per workspace. Each of the first largeWorkspaces workspaces sends largeFactor
+    /// times as many requests as each of the others.
     QList<QByteArray> keys;
     int largeWorkspaces = 2;
     double largeFactor = 4;
-    /// The last workspace sends this many times its share, on top of the rate.
+    /// The last workspace sends this many times its share; the excess is added to the rate.
     double greedyFactor = 1;
-    /// Requests a second over all workspaces.
+    /// Requests per second over all workspaces.
     double rate = 10;
+    /// Length of the arrival period.
     Milliseconds duration{10'000};
 
     QString model = QStringLiteral("m1");
     int maxTokens = 1024;
-    /// Prompt lengths are lognormal.
+    /// Prompt lengths have a log-normal distribution.
     double promptMedianTokens = 120;
     double promptSigma = 0.6;
-    /// Share of prompts that begin with one of the workspace's shared prefixes.
+    /// Share of prompts that begin with one of the shared prefixes of the workspace.
     double sharedPrefixShare = 0.5;
     int prefixesPerWorkspace = 3;
     int prefixTokens = 128;
@@ -35,7 +36,7 @@
     double plainShare = 0.1;
     QString plainService = QStringLiteral("status");
     double atMostOnceShare = 0.1;
-    /// Deadline of every request; zero sends none.
+    /// Deadline of every request; zero for none.
     Milliseconds deadline{30'000};
 };
 
--- a/test/correctness/LoadMeasures.cpp
+++ b/test/correctness/LoadMeasures.cpp
@@ -44,7 +44,7 @@
     result.request.prompt = prompt;
     result.response.status = 200;
     result.end = HttpExchangeEnd::Complete;
-    result.ended = true;
+    result.hasEnded = true;
     MonotonicTime now = result.sentAt;
     for (const int index : indices) {
         now += Milliseconds(10);
@@ -80,7 +80,8 @@
     BOOST_REQUIRE(first.size() == again.size());
     bool same = true;
     for (int i = 0; i < first.size(); ++i)
-        same = same && first.at(i).prompt == again.at(i).prompt && first.at(i).at == again.at(i).at;
+        same = same && first.at(i).prompt == again.at(i).prompt
+            && first.at(i).sendOffset == again.at(i).sendOffset;
     BOOST_TEST(same);
     BOOST_CHECK(first.first().prompt != other.first().prompt);
 }
@@ -145,20 +146,20 @@
     BOOST_TEST(metrics.whole == 0);
     BOOST_TEST(metrics.failed == 1);
     RequestResult unfinished = answered(QStringLiteral("p"), {0, 1});
-    unfinished.ended = false;
+    unfinished.hasEnded = false;
     BOOST_TEST(measured(unfinished).unfinished == 1);
 }
 
 BOOST_AUTO_TEST_CASE(RefusalIsCountedByItsKind)
 {
     RequestResult refused;
-    refused.ended = true;
+    refused.hasEnded = true;
     refused.end = HttpExchangeEnd::Complete;
     refused.response = {429, {}, R"({"kind":"queue_full","ran":"no"})"};
     const LoadMetrics metrics = measured(refused);
     BOOST_TEST(metrics.refused == 1);
     BOOST_TEST(metrics.refusedByKind[QStringLiteral("queue_full")] == 1);
-    BOOST_TEST(toldNotRun(refused));
+    BOOST_TEST(isReportedNotRun(refused));
 }
 
 BOOST_AUTO_TEST_CASE(OnlyGapsOverTheThresholdAreStallTime)
@@ -174,13 +175,13 @@
     const LoadMetrics metrics = measured(result);
     BOOST_TEST(metrics.stallMs == 450);
     BOOST_TEST(metrics.stalledStreams == 1);
-    BOOST_TEST(metrics.firstToken.largest() == 10);
+    BOOST_TEST(metrics.firstToken.max() == 10);
 }
 
 BOOST_AUTO_TEST_CASE(SteadyTokensAreThoseOfTheSecondHalfOfTheArrivals)
 {
     RequestResult result = answered(QStringLiteral("p"), {0, 1, 2, 3, 4, 5});
-    result.request.at = Milliseconds(25); // its tokens come at 35, 45, 55, 65, 75 and 85 ms
+    result.request.sendOffset = Milliseconds(25); // its tokens come at 35, 45, 55, 65, 75 and 85 ms
     LoadMetrics metrics;
     recordSteadyTokens(metrics, result, Milliseconds(80));
     BOOST_TEST(metrics.steadyTokens == 4);
@@ -206,8 +207,8 @@
         compareMeasure(comparison, QStringLiteral("forecast"), QStringLiteral("stall_ms"));
     BOOST_TEST(forecast.median == 50);
     BOOST_TEST(forecast.ratio == 0.25);
-    BOOST_TEST(forecast.leastRatio == 0.2);
-    BOOST_TEST(forecast.mostRatio == 0.5);
+    BOOST_TEST(forecast.minRatio == 0.2);
+    BOOST_TEST(forecast.maxRatio == 0.5);
     const ComparedMeasure none =
         compareMeasure(comparison, QStringLiteral("forecast"), QStringLiteral("preemptions"));
     BOOST_TEST(none.ratio < 0);
--- a/test/performance/SiteCompare.cpp
+++ b/test/performance/SiteCompare.cpp
@@ -94,7 +94,7 @@
 LoadLimits limits()
 {
     LoadLimits limits;
-    limits.patience = Milliseconds(FLAGS_deadline_ms + 5000);
+    limits.answerTimeout = Milliseconds(FLAGS_deadline_ms + 5000);
     return limits;
 }
 
