--- a/apps/ctl/InForceWait.h
+++ b/apps/ctl/InForceWait.h
@@ -13,8 +13,8 @@
 
 /// Polls until every live daemon reports @p version as in force or @p timeout has passed. Returns
 /// the daemons that do not report it, each with the version or error that it does report; empty
-/// if all do. If @p daemons holds a single daemon, its live members are checked through its
-/// status; if it holds several, exactly those are checked. Blocks the calling thread.
+/// if all do. If @p daemons holds a single daemon, that daemon and the live members in its status
+/// are checked; if it holds several, exactly those are checked. Blocks the calling thread.
 QStringList waitUntilInForce(OperatorClient &client, const QList<HttpEndpoint> &daemons,
                              qint64 version, Milliseconds timeout);
 
--- a/apps/load/TimeHistogram.h
+++ b/apps/load/TimeHistogram.h
@@ -6,7 +6,8 @@
 
 namespace cranberry::load {
 
-/// A histogram of times in milliseconds with logarithmic bins, each 1.4% wide.
+/// A histogram of times in milliseconds with logarithmic bins, each 1.4% wide, for the comparison
+/// of policies.
 /// Thread safety: a value type.
 class TimeHistogram
 {
