--- a/apps/ctl/Commands.cpp
+++ b/apps/ctl/Commands.cpp
@@ -4,7 +4,7 @@
 #include "ctl/DocumentDifference.h"
 #include "ctl/InForceWait.h"
 #include "ctl/OperatorClient.h"
-#include "ctl/RequestStory.h"
+#include "ctl/RequestTrace.h"
 #include "ctl/StatusText.h"
 
 #include <QFile>
--- a/apps/ctl/RequestStory.cpp
+++ b/apps/ctl/RequestTrace.cpp
@@ -1,4 +1,4 @@
-#include "ctl/RequestStory.h"
+#include "ctl/RequestTrace.h"
 
 #include <QMap>
 #include <QSet>
