--- a/src/daemon/DaemonSettings.cpp
+++ b/src/daemon/DaemonSettings.cpp
@@ -53,10 +53,10 @@
         Bytes(reader.number(QStringLiteral("header_bytes"), 1024, MostBytes, http.headers.value()));
     http.connections =
         int(reader.number(QStringLiteral("connections"), 1, MostConnections, http.connections));
-    http.unreadAnswer = Bytes(reader.number(QStringLiteral("unread_answer_bytes"), 1024, MostBytes,
-                                            http.unreadAnswer.value()));
-    http.requestArrival =
-        readDuration(reader, QStringLiteral("request_arrival_ms"), http.requestArrival);
+    http.maxUnreadResponse = Bytes(reader.number(QStringLiteral("unread_answer_bytes"), 1024,
+                                                 MostBytes, http.maxUnreadResponse.value()));
+    http.requestTimeout =
+        readDuration(reader, QStringLiteral("request_arrival_ms"), http.requestTimeout);
     settings.stall.floor =
         readDuration(reader, QStringLiteral("stall_floor_ms"), settings.stall.floor);
     settings.stall.ceiling =
--- a/src/http/BoundedTcpServer.cpp
+++ b/src/http/BoundedTcpServer.cpp
@@ -13,13 +13,14 @@
 
 namespace {
 
-constexpr Milliseconds SweepInterval{1000};
-/// Time in which a refused caller may read why, before the connection is closed.
-constexpr Milliseconds RefusalLinger{1000};
+constexpr Milliseconds TimeoutCheckInterval{1000};
+/// Time for a rejected caller to read the error response before the connection is closed.
+constexpr Milliseconds RejectionLinger{1000};
 constexpr int ListenBacklog = 1024;
 
-/// A refusal has no QHttpServer request to answer, so the few lines are written here.
-QByteArray refusalText(const Error &error)
+/// QHttpServer has no request to respond to when a connection is rejected, so the response is
+/// serialized here.
+QByteArray serializeRejection(const Error &error)
 {
     const QByteArray body = problemJson(error);
     const ErrorAnswer &answer = errorAnswer(error.kind);
@@ -37,7 +38,7 @@
     : QTcpServer(parent)
     , m_timers(timers)
     , m_limits(limits)
-    , m_sweep(timers.every(SweepInterval, [this] { closeOverdue(); }))
+    , m_timeoutTimer(timers.every(TimeoutCheckInterval, [this] { closeTimedOut(); }))
 {
     setListenBacklogSize(ListenBacklog);
 }
@@ -52,13 +53,13 @@
         return;
     }
     socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
-    const bool full = m_connections.size() >= m_limits.connections;
+    const bool isFull = m_connections.size() >= m_limits.connections;
     Connection connection;
-    connection.since = m_timers.now();
+    connection.waitingSince = m_timers.now();
     m_connections.insert(socket, connection);
     connect(socket, &QTcpSocket::readyRead, this, [this, socket] { countBytes(socket); });
     connect(socket, &QObject::destroyed, this, [this, socket] { m_connections.remove(socket); });
-    if (full) {
+    if (isFull) {
         connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
         reject(socket, ErrorKind::QueueFull, QStringLiteral("too many open connections"));
         return;
@@ -74,7 +75,7 @@
         return;
     }
     if (connection.bytes == 0 && !connection.answering)
-        connection.since = m_timers.now();
+        connection.waitingSince = m_timers.now();
     connection.bytes += socket->bytesAvailable();
     if (connection.bytes <= m_limits.headers.value() + m_limits.body.value())
         return;
@@ -91,8 +92,8 @@
     Error error;
     error.kind = kind;
     error.detail = detail;
-    socket->write(refusalText(error));
-    QTimer::singleShot(RefusalLinger, socket, [socket] { socket->disconnectFromHost(); });
+    socket->write(serializeRejection(error));
+    QTimer::singleShot(RejectionLinger, socket, [socket] { socket->disconnectFromHost(); });
 }
 
 void BoundedTcpServer::requestArrived(QTcpSocket *socket)
@@ -108,7 +109,7 @@
     if (found == m_connections.end())
         return;
     found->answering = false;
-    found->since = m_timers.now();
+    found->waitingSince = m_timers.now();
 }
 
 bool BoundedTcpServer::isAnswering(QTcpSocket *socket) const
@@ -124,17 +125,17 @@
     return bytes;
 }
 
-void BoundedTcpServer::closeOverdue()
+void BoundedTcpServer::closeTimedOut()
 {
     const MonotonicTime now = m_timers.now();
-    QList<QPointer<QTcpSocket>> overdue;
+    QList<QPointer<QTcpSocket>> timedOut;
     for (auto entry = m_connections.cbegin(); entry != m_connections.cend(); ++entry) {
-        const bool arriving = entry->bytes > 0;
-        const Milliseconds limit = arriving ? m_limits.requestArrival : m_limits.idleConnection;
-        if (!entry->answering && now - entry->since > limit)
-            overdue.append(entry.key());
+        const bool isReceiving = entry->bytes > 0;
+        const Milliseconds limit = isReceiving ? m_limits.requestTimeout : m_limits.idleTimeout;
+        if (!entry->answering && now - entry->waitingSince > limit)
+            timedOut.append(entry.key());
     }
-    for (const QPointer<QTcpSocket> &socket : overdue) {
+    for (const QPointer<QTcpSocket> &socket : timedOut) {
         if (socket)
             socket->abort();
     }
--- a/src/http/BoundedTcpServer.h
+++ b/src/http/BoundedTcpServer.h
@@ -1,4 +1,3 @@
-// Defines BoundedTcpServer, the listener that bounds what QHttpServer would buffer.
 #pragma once
 
 #include "base/ErrorKind.h"
@@ -16,11 +15,12 @@
 class TimerService;
 class TimerSubscription;
 
-/// QHttpServer 6.4 buffers a request of any size and waits for it for ever. This listener
-/// counts the bytes of each connection before QHttpServer reads them, answers and closes a
-/// connection that passes a limit, and refuses connections over the limit of their number.
-/// The guard holds because the listener connects to readyRead before QHttpServer does, and
-/// Qt calls slots in the order of their connection.
+/// A TCP listener that enforces HttpServerLimits for QHttpServer. QHttpServer 6.4 buffers requests
+/// of any size and waits for them without a timeout. This listener counts the bytes of each
+/// connection before QHttpServer reads them. It rejects and closes a connection that exceeds the
+/// size limit, rejects connections above the maximum number and aborts those that exceed a time
+/// limit. It depends on the order of slots: the listener connects to readyRead before QHttpServer
+/// does, and Qt calls slots in the order in which they were connected.
 /// Thread safety: only from its own thread.
 class BoundedTcpServer : public QTcpServer
 {
@@ -28,14 +28,16 @@
     BoundedTcpServer(TimerService &timers, HttpServerLimits limits, QObject *parent = nullptr);
     ~BoundedTcpServer() override;
 
-    /// A request on @p socket arrived whole and is being answered; counting starts anew.
+    /// A complete request was received on @p socket and its response is pending; resets the byte
+    /// count.
     void requestArrived(QTcpSocket *socket);
-    /// The answer on @p socket is complete.
+    /// The response on @p socket is complete.
     void requestAnswered(QTcpSocket *socket);
-    /// True while an answer on @p socket is not complete.
+    /// True while the response on @p socket is incomplete.
     bool isAnswering(QTcpSocket *socket) const;
 
     int openConnections() const { return int(m_connections.size()); }
+    /// Bytes of responses that are not yet passed to the system's socket buffers.
     qint64 unsentBytes() const;
 
 protected:
@@ -46,17 +48,18 @@
         qint64 bytes = 0;
         bool answering = false;
         bool rejected = false;
-        MonotonicTime since;
+        /// Start of the current wait: for a request or, after its first byte, for its end.
+        MonotonicTime waitingSince;
     };
 
     void countBytes(QTcpSocket *socket);
     void reject(QTcpSocket *socket, ErrorKind kind, const QString &detail);
-    void closeOverdue();
+    void closeTimedOut();
 
     TimerService &m_timers;
     const HttpServerLimits m_limits;
     QHash<QTcpSocket *, Connection> m_connections;
-    std::unique_ptr<TimerSubscription> m_sweep;
+    std::unique_ptr<TimerSubscription> m_timeoutTimer;
 };
 
 } // namespace cranberry
--- a/src/http/CallerConnection.cpp
+++ b/src/http/CallerConnection.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-/// Time in which a caller may read the last answer before the connection is closed under it. A
-/// close with unread bytes is a reset, which may overtake the answer.
-constexpr Milliseconds LingerTime{1000};
-/// Bytes that a caller may send ahead of the answer to its last request.
-constexpr qsizetype MostPipelinedBytes = 64 * 1024;
+/// Time for the caller to read the last response before the connection is closed. Closing a socket
+/// with unread received bytes sends a reset, which can reach the caller before the response does.
+constexpr Milliseconds LingerTimeout{1000};
+/// Maximum size of pipelined data buffered while a response is incomplete; reading stops above it.
+constexpr qsizetype MaxPipelinedBytes = 64 * 1024;
 
-ErrorKind kindOf(const boost::beast::error_code &error)
+ErrorKind errorKindOf(const boost::beast::error_code &error)
 {
     if (error == boost::beast::http::error::header_limit)
         return ErrorKind::HeadersTooLarge;
@@ -29,7 +29,8 @@
 
 const char *reasonPhrase(int status)
 {
-    // Only the number counts; one phrase a class keeps the line well formed.
+    // Clients evaluate only the status code. One phrase per status class keeps the line
+    // well-formed.
     return status < 300 ? "OK" : status < 500 ? "Rejected" : "Failed";
 }
 
@@ -39,7 +40,7 @@
                                    std::unique_ptr<TcpStream> stream)
     : m_context(context)
     , m_stream(std::move(stream))
-    , m_since(context.timers.now())
+    , m_lastProgress(context.timers.now())
 {
 }
 
@@ -51,29 +52,30 @@
     const std::weak_ptr<CallerConnection> weak = weak_from_this();
     callbacks.received = [weak](const QByteArray &data) {
         if (const auto self = weak.lock())
-            self->received(data);
+            self->handleData(data);
     };
     callbacks.ended = [weak](TcpEnd) {
         if (const auto self = weak.lock())
-            self->finish();
+            self->close();
     };
     m_stream->setCallbacks(std::move(callbacks));
 }
 
-void CallerConnection::received(const QByteArray &data)
+void CallerConnection::handleData(const QByteArray &data)
 {
     if (m_state == State::Lingering)
         return;
     m_incoming += data;
     if (m_state == State::Reading)
         parse();
-    else if (m_incoming.size() > MostPipelinedBytes)
-        m_stream->setReading(false);
+    else if (m_incoming.size() > MaxPipelinedBytes)
+        m_stream->setReadingEnabled(false);
 }
 
 void CallerConnection::parse()
 {
-    // An answer that is sent from inside the handler comes back here; the loop then goes on.
+    // A response that is sent synchronously from the handler calls this function recursively; the
+    // outer loop then parses the next request.
     if (m_parsing)
         return;
     m_parsing = true;
@@ -82,7 +84,7 @@
             m_parser = std::make_unique<internal::HttpRequestParser>(
                 std::uint32_t(m_context.limits.headers.value()),
                 std::uint64_t(m_context.limits.body.value()));
-            m_since = m_context.timers.now();
+            m_lastProgress = m_context.timers.now();
         }
         const bool hadHeaders = m_parser->is_header_done();
         boost::beast::error_code error;
@@ -92,14 +94,14 @@
         if (error == boost::beast::http::error::need_more || (!error && used == 0))
             break;
         if (error) {
-            reject(kindOf(error));
+            reject(errorKindOf(error));
             break;
         }
         if (!hadHeaders && m_parser->is_header_done() && !m_parser->is_done()
             && m_parser->request().headers.contains("Expect"))
             m_stream->write("HTTP/1.1 100 Continue\r\n\r\n");
         if (m_parser->is_header_done())
-            m_since = m_context.timers.now();
+            m_lastProgress = m_context.timers.now();
         if (m_parser->is_done())
             dispatch();
     }
@@ -109,25 +111,25 @@
 void CallerConnection::dispatch()
 {
     m_state = State::Answering;
-    ++m_request;
-    m_closeAfter = !m_parser->keep_alive();
+    ++m_requestNumber;
+    m_closeAfterResponse = !m_parser->keep_alive();
     const HttpRequest request = m_parser->request();
     m_parser.reset();
     const auto self = shared_from_this();
-    m_context.handler(request, std::make_shared<CallerReply>(self, m_request));
+    m_context.handler(request, std::make_shared<CallerReply>(self, m_requestNumber));
 }
 
 void CallerConnection::reject(ErrorKind kind)
 {
     m_state = State::Answering;
-    m_closeAfter = true;
+    m_closeAfterResponse = true;
     m_incoming.clear();
-    send(m_context.rejection(kind));
+    send(m_context.makeRejection(kind));
 }
 
-bool CallerConnection::isAnswering(quint64 request) const
+bool CallerConnection::isAnswering(quint64 requestNumber) const
 {
-    return isAnswering() && m_request == request;
+    return isAnswering() && m_requestNumber == requestNumber;
 }
 
 void CallerConnection::writeHead(int status, const HttpHeaders &headers)
@@ -136,8 +138,8 @@
         "HTTP/1.1 " + QByteArray::number(status) + ' ' + reasonPhrase(status) + "\r\n";
     for (const HttpHeaders::Field &field : headers.fields())
         head += field.first + ": " + field.second + "\r\n";
-    if (m_closeAfter || m_context.closing) {
-        m_closeAfter = true;
+    if (m_closeAfterResponse || m_context.closing) {
+        m_closeAfterResponse = true;
         head += "Connection: close\r\n";
     }
     m_stream->write(head + "\r\n");
@@ -149,7 +151,7 @@
     headers.add("Content-Length", QByteArray::number(response.body.size()));
     writeHead(response.status, headers);
     m_stream->write(response.body);
-    answered();
+    completeResponse();
 }
 
 void CallerConnection::startStream(int status, const HttpHeaders &headers)
@@ -169,13 +171,13 @@
 void CallerConnection::endStream()
 {
     m_stream->write("0\r\n\r\n");
-    answered();
+    completeResponse();
 }
 
 void CallerConnection::abort()
 {
-    m_gone = {};
-    finish();
+    m_onCallerGone = {};
+    close();
 }
 
 qsizetype CallerConnection::unsentBytes() const
@@ -183,38 +185,38 @@
     return m_stream ? m_stream->unsentBytes() : 0;
 }
 
-void CallerConnection::answered()
+void CallerConnection::completeResponse()
 {
-    m_gone = {};
-    m_since = m_context.timers.now();
-    if (m_closeAfter) {
+    m_onCallerGone = {};
+    m_lastProgress = m_context.timers.now();
+    if (m_closeAfterResponse) {
         linger();
         return;
     }
     m_state = State::Reading;
-    m_stream->setReading(true);
+    m_stream->setReadingEnabled(true);
     parse();
 }
 
 void CallerConnection::linger()
 {
     m_state = State::Lingering;
-    m_stream->setReading(true);
-    m_stream->finishSending();
+    m_stream->setReadingEnabled(true);
+    m_stream->shutDownSending();
 }
 
-void CallerConnection::sweep()
+void CallerConnection::enforceTimeouts()
 {
     const Milliseconds waited =
-        std::chrono::duration_cast<Milliseconds>(m_context.timers.now() - m_since);
-    if (m_state == State::Lingering && waited > LingerTime && unsentBytes() == 0)
-        finish();
+        std::chrono::duration_cast<Milliseconds>(m_context.timers.now() - m_lastProgress);
+    if (m_state == State::Lingering && waited > LingerTimeout && unsentBytes() == 0)
+        close();
     if (m_state != State::Reading)
         return;
-    const bool headersDue = m_parser && !m_parser->is_header_done();
-    if (headersDue && waited > m_context.limits.headerTime)
+    const bool headersPending = m_parser && !m_parser->is_header_done();
+    if (headersPending && waited > m_context.limits.headerTimeout)
         reject(ErrorKind::RequestTooSlow);
-    else if (waited > m_context.limits.idle)
+    else if (waited > m_context.limits.idleTimeout)
         m_parser ? reject(ErrorKind::RequestTooSlow) : linger();
 }
 
@@ -224,16 +226,16 @@
         linger();
 }
 
-void CallerConnection::finish()
+void CallerConnection::close()
 {
     if (m_state == State::Ended)
         return;
     m_state = State::Ended;
     const auto self = shared_from_this();
-    const auto gone = std::exchange(m_gone, {});
+    const auto callback = std::exchange(m_onCallerGone, {});
     m_stream.reset();
-    if (gone)
-        gone();
+    if (callback)
+        callback();
     m_context.ended(this);
 }
 
--- a/src/http/CallerConnection.h
+++ b/src/http/CallerConnection.h
@@ -1,4 +1,3 @@
-// Defines CallerConnection, one accepted connection and the request on it.
 #pragma once
 
 #include "base/Units.h"
@@ -22,20 +21,23 @@
 class HttpRequestParser;
 }
 
-/// What a connection needs of its listener; all members outlive it.
+/// The state and callbacks of a listener that its connections use. All members outlive the
+/// connections.
 struct CallerConnectionContext {
     TimerService &timers;
-    /// In force for requests that begin now.
+    /// Limits for each request whose first byte is received from now on.
     const CallerLimits &limits;
     std::function<void(const HttpRequest &, const std::shared_ptr<CallerReply> &)> handler;
-    /// The answer to a request that never became one.
-    std::function<HttpResponse(ErrorKind kind)> rejection;
-    /// Answers carry "Connection: close".
+    /// Builds the response to a request that cannot be parsed, exceeds a limit or times out.
+    std::function<HttpResponse(ErrorKind kind)> makeRejection;
+    /// True if responses carry "Connection: close".
     const bool &closing;
+    /// Called when the connection has ended, so that the listener releases it.
     std::function<void(CallerConnection *)> ended;
 };
 
-/// Reads one request at a time; the next one waits until this one is answered.
+/// An accepted connection and the request on it. Reads one request at a time; the next request is
+/// parsed after the response to the current one is complete.
 /// Thread safety: only from the thread of the listener.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
@@ -43,21 +45,23 @@
     CallerConnection(CallerConnectionContext &context, std::unique_ptr<TcpStream> stream);
     ~CallerConnection();
 
-    /// Begins to read. Precondition: held by a shared pointer.
+    /// Starts reading. Precondition: the object is owned by a shared pointer.
     void start();
-    /// Closes it if a bound of time has passed.
-    void sweep();
-    /// Closes it if no request is under way or begun.
+    /// Rejects the current request or closes the connection if a time limit has passed.
+    void enforceTimeouts();
+    /// Closes the connection if no request is active or partly received.
     void closeIfIdle();
 
-    bool isAnswering(quint64 request) const;
+    /// True while the response to request @p requestNumber of this connection is incomplete.
+    bool isAnswering(quint64 requestNumber) const;
     bool isAnswering() const { return m_state == State::Answering || m_state == State::Streaming; }
     void send(const HttpResponse &response);
     void startStream(int status, const HttpHeaders &headers);
     void writeChunk(const QByteArray &data);
     void endStream();
     void abort();
-    void onGone(std::function<void()> callback) { m_gone = std::move(callback); }
+    /// @p callback is called once if the connection ends before the response is complete.
+    void onCallerGone(std::function<void()> callback) { m_onCallerGone = std::move(callback); }
     qsizetype unsentBytes() const;
 
 private:
@@ -65,30 +69,30 @@
         Reading,
         Answering,
         Streaming,
-        /// The last answer is out; waits for the caller to close.
+        /// The last response is written; waits for the caller to close the connection.
         Lingering,
         Ended,
     };
 
-    void received(const QByteArray &data);
+    void handleData(const QByteArray &data);
     void parse();
     void dispatch();
     void reject(ErrorKind kind);
     void writeHead(int status, const HttpHeaders &headers);
-    void answered();
+    void completeResponse();
     void linger();
-    void finish();
+    void close();
 
     CallerConnectionContext &m_context;
     std::unique_ptr<TcpStream> m_stream;
     std::unique_ptr<internal::HttpRequestParser> m_parser;
     QByteArray m_incoming;
     State m_state = State::Reading;
-    quint64 m_request = 0;
-    bool m_closeAfter = false;
+    quint64 m_requestNumber = 0;
+    bool m_closeAfterResponse = false;
     bool m_parsing = false;
-    MonotonicTime m_since;
-    std::function<void()> m_gone;
+    MonotonicTime m_lastProgress;
+    std::function<void()> m_onCallerGone;
 };
 
 } // namespace cranberry
--- a/src/http/CallerReply.cpp
+++ b/src/http/CallerReply.cpp
@@ -5,16 +5,16 @@
 
 namespace cranberry {
 
-CallerReply::CallerReply(std::weak_ptr<CallerConnection> connection, quint64 request)
+CallerReply::CallerReply(std::weak_ptr<CallerConnection> connection, quint64 requestNumber)
     : m_connection(std::move(connection))
-    , m_request(request)
+    , m_requestNumber(requestNumber)
 {
 }
 
 std::shared_ptr<CallerConnection> CallerReply::connection() const
 {
     const std::shared_ptr<CallerConnection> connection = m_connection.lock();
-    return connection && connection->isAnswering(m_request) ? connection : nullptr;
+    return connection && connection->isAnswering(m_requestNumber) ? connection : nullptr;
 }
 
 void CallerReply::send(const HttpResponse &response)
@@ -50,7 +50,7 @@
 void CallerReply::onCallerGone(std::function<void()> callback)
 {
     if (const auto open = connection())
-        open->onGone(std::move(callback));
+        open->onCallerGone(std::move(callback));
 }
 
 qsizetype CallerReply::unsentBytes() const
--- a/src/http/CallerReply.h
+++ b/src/http/CallerReply.h
@@ -1,4 +1,3 @@
-// Defines CallerReply, the way back to the caller of one request.
 #pragma once
 
 #include "http/HttpHeaders.h"
@@ -11,34 +10,34 @@
 class CallerConnection;
 struct HttpResponse;
 
-/// Answers one request, whole or as a chunked stream. It outlives the connection safely: once
-/// the caller has gone, everything written is dropped.
+/// Sends the response to one request, in one piece or as a chunked stream. It may outlive the
+/// connection: after the caller has disconnected, all writes are dropped.
 /// Thread safety: only from the thread of the listener.
 class CallerReply
 {
 public:
-    CallerReply(std::weak_ptr<CallerConnection> connection, quint64 request);
+    CallerReply(std::weak_ptr<CallerConnection> connection, quint64 requestNumber);
 
-    /// Sends a whole answer. Precondition: nothing was sent before.
+    /// Sends a complete response. Precondition: nothing was sent before.
     void send(const HttpResponse &response);
-    /// Begins a stream. Precondition: nothing was sent before.
+    /// Starts a chunked stream. Precondition: nothing was sent before.
     void startStream(int status, const HttpHeaders &headers);
-    /// Sends one chunk. Precondition: a stream was begun and not ended.
+    /// Sends one chunk. Precondition: a stream was started and not ended.
     void write(const QByteArray &data);
-    /// Ends the stream regularly. Precondition: a stream was begun and not ended.
+    /// Ends the stream with the final chunk. Precondition: a stream was started and not ended.
     void end();
-    /// Breaks the connection off, so that the caller sees an incomplete answer.
+    /// Closes the connection at once, so that the caller sees an incomplete response.
     void abort();
-    /// @p callback is called once if the caller leaves before the answer is complete.
+    /// @p callback is called once if the caller disconnects before the response is complete.
     void onCallerGone(std::function<void()> callback);
-    /// Bytes of the answer that the caller has not taken yet.
+    /// Bytes of the response that are not yet passed to the system's socket buffer.
     qsizetype unsentBytes() const;
 
 private:
     std::shared_ptr<CallerConnection> connection() const;
 
     std::weak_ptr<CallerConnection> m_connection;
-    quint64 m_request;
+    quint64 m_requestNumber;
 };
 
 } // namespace cranberry
--- a/src/http/HttpClient.cpp
+++ b/src/http/HttpClient.cpp
@@ -14,7 +14,7 @@
 std::unique_ptr<HttpExchange> HttpClient::fetch(const HttpEndpoint &endpoint,
                                                 const HttpRequest &request,
                                                 const HttpExchangeOptions &options,
-                                                WholeCallback callback)
+                                                ResponseCallback callback)
 {
     auto response = std::make_shared<HttpResponse>();
     HttpExchangeCallbacks callbacks;
--- a/src/http/HttpClient.h
+++ b/src/http/HttpClient.h
@@ -1,4 +1,3 @@
-// Defines HttpClient, which sends requests and hands over answers as they come.
 #pragma once
 
 #include "http/HttpConnectionPool.h"
@@ -14,15 +13,16 @@
 
 class TimerService;
 
-/// An HTTP/1.1 client without a bound on streams per host. Qt's network access opens six
-/// connections a host and lets further requests wait silently, which a stream of minutes
-/// cannot have; the sockets are Qt's and the parser is Boost.Beast's.
+/// An HTTP/1.1 client without a limit on connections per host, which delivers responses as they
+/// arrive. QNetworkAccessManager opens at most six connections per host and queues further requests
+/// without notice, so that streams that last minutes would block other requests. This client runs
+/// on Qt's event loop and uses Boost.Beast's parser.
 /// Thread safety: only from its own thread.
 class HttpClient
 {
 public:
-    /// Told once: the whole answer, or how the exchange ended without one.
-    using WholeCallback = std::function<void(HttpExchangeEnd end, const HttpResponse &response)>;
+    /// Called once, with the complete response or with how the exchange ended without one.
+    using ResponseCallback = std::function<void(HttpExchangeEnd end, const HttpResponse &response)>;
 
     /// Precondition: @p timers outlives the client.
     explicit HttpClient(TimerService &timers)
@@ -31,17 +31,18 @@
     {
     }
 
-    /// Sends @p request; the exchange ends when the result is destroyed.
+    /// Sends @p request. Destroying the result cancels the exchange.
     [[nodiscard]] std::unique_ptr<HttpExchange> send(const HttpEndpoint &endpoint,
                                                      const HttpRequest &request,
                                                      const HttpExchangeOptions &options,
                                                      HttpExchangeCallbacks callbacks);
 
-    /// Sends @p request and collects the answer. The exchange ends when the result is destroyed.
+    /// Sends @p request and collects the complete response. Destroying the result cancels the
+    /// exchange.
     [[nodiscard]] std::unique_ptr<HttpExchange> fetch(const HttpEndpoint &endpoint,
                                                       const HttpRequest &request,
                                                       const HttpExchangeOptions &options,
-                                                      WholeCallback callback);
+                                                      ResponseCallback callback);
 
 private:
     TimerService &m_timers;
--- a/src/http/HttpConnectionPool.cpp
+++ b/src/http/HttpConnectionPool.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t IdlePerEndpoint = 16;
+constexpr std::size_t MaxIdlePerEndpoint = 16;
 
 QString endpointKey(const HttpEndpoint &endpoint)
 {
@@ -18,10 +18,11 @@
 
 struct HttpConnectionPool::IdleConnection {
     std::unique_ptr<TcpStream> stream;
-    MonotonicTime since;
-    MonotonicTime until;
-    /// Bytes or an end came while it was idle; neither belongs to any request.
-    bool spoilt = false;
+    MonotonicTime idleSince;
+    MonotonicTime expiresAt;
+    /// True if data or the end of the connection was received while it was idle, so that it cannot
+    /// serve a further request.
+    bool isUnusable = false;
 };
 
 HttpConnectionPool::HttpConnectionPool(TimerService &timers)
@@ -31,25 +32,25 @@
 
 HttpConnectionPool::~HttpConnectionPool() = default;
 
-void HttpConnectionPool::dropUnusable(IdleList &list, MonotonicTime now)
+void HttpConnectionPool::removeUnusable(IdleList &list, MonotonicTime now)
 {
     list.remove_if([now](const std::shared_ptr<IdleConnection> &idle) {
-        return idle->spoilt || idle->until <= now;
+        return idle->isUnusable || idle->expiresAt <= now;
     });
 }
 
 std::unique_ptr<TcpStream> HttpConnectionPool::take(const HttpEndpoint &endpoint,
-                                                    std::optional<Milliseconds> mostIdle)
+                                                    std::optional<Milliseconds> maxIdleTime)
 {
     const auto found = m_idle.find(endpointKey(endpoint));
     if (found == m_idle.end())
         return nullptr;
     const MonotonicTime now = m_timers.now();
-    dropUnusable(*found, now);
+    removeUnusable(*found, now);
     std::unique_ptr<TcpStream> stream;
-    // The last one given is the one that has been idle for the shortest time.
+    // The connection at the back was released last and has been idle for the shortest time.
     const auto isFresh = [&](const IdleConnection &idle) {
-        return !mostIdle || now - idle.since <= *mostIdle;
+        return !maxIdleTime || now - idle.idleSince <= *maxIdleTime;
     };
     if (!found->empty() && isFresh(*found->back())) {
         stream = std::move(found->back()->stream);
@@ -61,27 +62,27 @@
     return stream;
 }
 
-void HttpConnectionPool::give(const HttpEndpoint &endpoint, std::unique_ptr<TcpStream> stream,
-                              Milliseconds keepFor)
+void HttpConnectionPool::release(const HttpEndpoint &endpoint, std::unique_ptr<TcpStream> stream,
+                                 Milliseconds keepAliveTimeout)
 {
     const MonotonicTime now = m_timers.now();
     IdleList &list = m_idle[endpointKey(endpoint)];
-    dropUnusable(list, now);
+    removeUnusable(list, now);
     auto idle = std::make_shared<IdleConnection>();
-    idle->since = now;
-    idle->until = now + keepFor;
+    idle->idleSince = now;
+    idle->expiresAt = now + keepAliveTimeout;
     TcpStreamCallbacks callbacks;
     const std::weak_ptr<IdleConnection> weak = idle;
-    const auto spoil = [weak] {
+    const auto markUnusable = [weak] {
         if (const auto connection = weak.lock())
-            connection->spoilt = true;
+            connection->isUnusable = true;
     };
-    callbacks.received = [spoil](const QByteArray &) { spoil(); };
-    callbacks.ended = [spoil](TcpEnd) { spoil(); };
+    callbacks.received = [markUnusable](const QByteArray &) { markUnusable(); };
+    callbacks.ended = [markUnusable](TcpEnd) { markUnusable(); };
     stream->setCallbacks(std::move(callbacks));
     idle->stream = std::move(stream);
     list.push_back(std::move(idle));
-    if (list.size() > IdlePerEndpoint)
+    if (list.size() > MaxIdlePerEndpoint)
         list.pop_front();
 }
 
--- a/src/http/HttpConnectionPool.h
+++ b/src/http/HttpConnectionPool.h
@@ -1,4 +1,3 @@
-// Defines HttpConnectionPool, the idle connections of an HTTP client.
 #pragma once
 
 #include "base/Units.h"
@@ -14,7 +13,7 @@
 class TcpStream;
 class TimerService;
 
-/// Keeps connections that may serve a further exchange, a bounded number for each endpoint.
+/// Keeps idle client connections for reuse by later exchanges, a limited number per endpoint.
 /// Thread safety: only from its own thread.
 class HttpConnectionPool
 {
@@ -25,21 +24,21 @@
     HttpConnectionPool(const HttpConnectionPool &) = delete;
     HttpConnectionPool &operator=(const HttpConnectionPool &) = delete;
 
-    /// An open connection to @p endpoint that has been idle for at most @p mostIdle; null if
-    /// there is none.
+    /// Removes from the pool and returns an open connection to @p endpoint that has been idle for
+    /// at most @p maxIdleTime; null if there is none.
     std::unique_ptr<TcpStream> take(const HttpEndpoint &endpoint,
-                                    std::optional<Milliseconds> mostIdle);
+                                    std::optional<Milliseconds> maxIdleTime);
 
-    /// Takes over @p stream and keeps it for at most @p keepFor.
-    /// Precondition: its last answer was read whole.
-    void give(const HttpEndpoint &endpoint, std::unique_ptr<TcpStream> stream,
-              Milliseconds keepFor);
+    /// Takes ownership of @p stream and keeps it for at most @p keepAliveTimeout.
+    /// Precondition: the last response on it was read completely.
+    void release(const HttpEndpoint &endpoint, std::unique_ptr<TcpStream> stream,
+                 Milliseconds keepAliveTimeout);
 
 private:
     struct IdleConnection;
     using IdleList = std::list<std::shared_ptr<IdleConnection>>;
 
-    static void dropUnusable(IdleList &list, MonotonicTime now);
+    static void removeUnusable(IdleList &list, MonotonicTime now);
 
     TimerService &m_timers;
     QHash<QString, IdleList> m_idle;
--- a/src/http/HttpEndpoint.h
+++ b/src/http/HttpEndpoint.h
@@ -1,4 +1,3 @@
-// Defines HttpEndpoint, where an HTTP server is reached.
 #pragma once
 
 #include <QString>
@@ -7,7 +6,7 @@
 
 namespace cranberry {
 
-/// An address by IP number and a port, without TLS.
+/// The IP address and port of an HTTP server without TLS.
 struct HttpEndpoint {
     QString address;
     quint16 port = 0;
@@ -18,7 +17,7 @@
     }
 };
 
-/// Reads "http://ADDRESS:PORT"; nothing if @p url is of another shape. Thread-safe.
+/// Parses "http://ADDRESS:PORT"; nullopt if @p url has any other format. Thread-safe.
 std::optional<HttpEndpoint> parseEndpoint(const QString &url);
 
 } // namespace cranberry
--- a/src/http/HttpExchange.cpp
+++ b/src/http/HttpExchange.cpp
@@ -11,13 +11,15 @@
 
 namespace {
 
-/// Kept for this long where the peer does not say how long it keeps an idle connection. A peer
-/// that says nothing may close it within a second.
-constexpr Milliseconds KeepUnstated{500};
-/// Taken off what the peer says, so that a request does not cross its close.
-constexpr Milliseconds KeepMargin{1000};
-
-QByteArray wireText(const HttpEndpoint &endpoint, const HttpRequest &request, bool keepAlive)
+/// Time for which an idle connection is kept if the peer sends no keep-alive timeout. Such a peer
+/// may close an idle connection within a second.
+constexpr Milliseconds DefaultKeepAliveTimeout{500};
+/// Subtracted from the peer's keep-alive timeout, so that no request is sent while the peer closes
+/// the connection.
+constexpr Milliseconds KeepAliveMargin{1000};
+
+QByteArray serializeRequest(const HttpEndpoint &endpoint, const HttpRequest &request,
+                            bool keepAlive)
 {
     QByteArray text = request.method + ' ' + request.path;
     if (!request.query.isEmpty())
@@ -45,27 +47,28 @@
     , m_timers(timers)
     , m_endpoint(endpoint)
     , m_options(options)
-    , m_outgoing(wireText(endpoint, request, options.reuseConnection || options.keepConnection))
+    , m_outgoing(
+          serializeRequest(endpoint, request, options.reuseConnection || options.keepConnection))
     , m_callbacks(std::move(callbacks))
     , m_parser(std::make_unique<internal::HttpResponseParser>())
     , m_destroyed(std::make_shared<bool>(false))
 {
     if (options.reuseConnection)
-        m_stream = pool.take(endpoint, options.mostIdle);
+        m_stream = pool.take(endpoint, options.maxIdleTime);
     const bool reused = m_stream != nullptr;
     if (!reused)
         m_stream = TcpStream::connectTo(endpoint);
     TcpStreamCallbacks events;
-    events.connected = [this] { connected(); };
-    events.received = [this](const QByteArray &data) { received(data); };
-    events.ended = [this](TcpEnd end) { ended(end); };
+    events.connected = [this] { handleConnected(); };
+    events.received = [this](const QByteArray &data) { handleData(data); };
+    events.ended = [this](TcpEnd end) { handleEnd(end); };
     m_stream->setCallbacks(std::move(events));
     if (reused) {
-        connected();
+        handleConnected();
         return;
     }
     m_timeout = timers.after(options.connectTimeout, [this] {
-        finish(HttpExchangeEnd::NotConnected, QStringLiteral("no connection in time"));
+        finish(HttpExchangeEnd::NotConnected, QStringLiteral("connect timeout"));
     });
 }
 
@@ -74,35 +77,35 @@
     *m_destroyed = true;
 }
 
-void HttpExchange::connected()
+void HttpExchange::handleConnected()
 {
     m_connected = true;
     m_timeout.reset();
     if (m_options.timeout.count() > 0) {
         m_timeout = m_timers.after(m_options.timeout, [this] {
-            finish(HttpExchangeEnd::TimedOut, QStringLiteral("no answer in time"));
+            finish(HttpExchangeEnd::TimedOut, QStringLiteral("response timeout"));
         });
     }
     if (m_options.stallTimeout.count() > 0) {
         m_lastProgress = m_timers.now();
-        watchForStall(m_options.stallTimeout);
+        startStallTimer(m_options.stallTimeout);
     }
     m_stream->write(m_outgoing);
     m_outgoing.clear();
 }
 
-void HttpExchange::watchForStall(Milliseconds delay)
+void HttpExchange::startStallTimer(Milliseconds delay)
 {
     m_stallTimer = m_timers.after(delay, [this] {
         const auto idle = std::chrono::duration_cast<Milliseconds>(m_timers.now() - m_lastProgress);
         if (idle < m_options.stallTimeout)
-            watchForStall(m_options.stallTimeout - idle);
+            startStallTimer(m_options.stallTimeout - idle);
         else
             finish(HttpExchangeEnd::TimedOut, QStringLiteral("no data within the stall timeout"));
     });
 }
 
-void HttpExchange::received(const QByteArray &data)
+void HttpExchange::handleData(const QByteArray &data)
 {
     const std::shared_ptr<bool> destroyed = m_destroyed;
     m_lastProgress = m_timers.now();
@@ -110,7 +113,7 @@
     if (!parse())
         return;
     const QByteArray body = m_parser->takeBody();
-    if (!m_skipping && !body.isEmpty() && m_callbacks.body) {
+    if (!m_isSkippingResponse && !body.isEmpty() && m_callbacks.body) {
         m_callbacks.body(body);
         if (*destroyed || m_finished)
             return;
@@ -119,7 +122,7 @@
         finish(HttpExchangeEnd::Complete, {});
 }
 
-/// Feeds the parser; false if the exchange is over or destroyed.
+/// Parses the received data; returns false if the exchange has finished or is destroyed.
 bool HttpExchange::parse()
 {
     boost::beast::error_code error;
@@ -128,7 +131,7 @@
         const std::size_t used = m_parser->put(
             boost::asio::const_buffer(m_incoming.constData(), size_t(m_incoming.size())), error);
         m_incoming.remove(0, qsizetype(used));
-        if (!hadHeaders && m_parser->is_header_done() && !takeHeaders())
+        if (!hadHeaders && m_parser->is_header_done() && !processHeaders())
             return false;
         if (error == boost::beast::http::error::need_more || (!error && used == 0))
             break;
@@ -136,20 +139,21 @@
             finish(HttpExchangeEnd::Malformed, QString::fromStdString(error.message()));
             return false;
         }
-        if (m_skipping && m_parser->is_done()) {
-            m_skipping = false;
+        if (m_isSkippingResponse && m_parser->is_done()) {
+            m_isSkippingResponse = false;
             m_parser = std::make_unique<internal::HttpResponseParser>();
         }
     }
     return true;
 }
 
-bool HttpExchange::takeHeaders()
+bool HttpExchange::processHeaders()
 {
     const QByteArray echo = m_parser->headers().value(m_options.echoHeader);
-    m_skipping = !m_options.echoHeader.isEmpty() && !echo.isNull() && echo != m_options.echoValue;
-    if (m_skipping) {
-        m_odd = true;
+    m_isSkippingResponse =
+        !m_options.echoHeader.isEmpty() && !echo.isNull() && echo != m_options.echoValue;
+    if (m_isSkippingResponse) {
+        m_hasUnexpectedData = true;
         return true;
     }
     const std::shared_ptr<bool> destroyed = m_destroyed;
@@ -158,36 +162,37 @@
     return !*destroyed && !m_finished;
 }
 
-void HttpExchange::ended(TcpEnd end)
+void HttpExchange::handleEnd(TcpEnd end)
 {
     if (end == TcpEnd::NotConnected || !m_connected) {
-        finish(HttpExchangeEnd::NotConnected, QStringLiteral("no connection"));
+        finish(HttpExchangeEnd::NotConnected, QStringLiteral("connection failed"));
         return;
     }
-    // An answer without a length ends with its connection, but only with an orderly close: after
-    // a reset its last bytes may be missing. The parser takes an end before the first byte for
-    // a whole answer too, so its headers must have come.
-    const bool hadHeaders = m_parser->is_header_done() && !m_skipping;
-    bool whole = false;
+    // A response without a length ends when the peer closes the connection in order; after a reset
+    // its last bytes may be missing. The parser also accepts an end before the first byte as a
+    // complete response, so the headers must have been received.
+    const bool hadHeaders = m_parser->is_header_done() && !m_isSkippingResponse;
+    bool isComplete = false;
     if (hadHeaders && end == TcpEnd::Closed) {
         boost::beast::error_code error;
         m_parser->put_eof(error);
-        whole = !error && m_parser->is_done();
+        isComplete = !error && m_parser->is_done();
     }
-    finish(whole ? HttpExchangeEnd::Complete : HttpExchangeEnd::Broken,
+    finish(isComplete ? HttpExchangeEnd::Complete : HttpExchangeEnd::Broken,
            end == TcpEnd::Closed ? QStringLiteral("closed by the peer")
                                  : QStringLiteral("reset by the peer"));
 }
 
-Milliseconds HttpExchange::keepFor() const
+Milliseconds HttpExchange::keepAliveTimeout() const
 {
-    const QByteArray stated = m_parser->headers().value("Keep-Alive");
-    const qsizetype at = stated.indexOf("timeout=");
-    if (at < 0)
-        return KeepUnstated;
-    const QByteArray seconds = stated.mid(at + qsizetype(strlen("timeout="))).split(',').first();
-    const Milliseconds limit{seconds.trimmed().toLongLong() * 1000};
-    return std::max(limit - KeepMargin, KeepUnstated);
+    const QByteArray keepAlive = m_parser->headers().value("Keep-Alive");
+    const qsizetype position = keepAlive.indexOf("timeout=");
+    if (position < 0)
+        return DefaultKeepAliveTimeout;
+    const QByteArray seconds =
+        keepAlive.mid(position + qsizetype(strlen("timeout="))).split(',').first();
+    const Milliseconds peerTimeout{seconds.trimmed().toLongLong() * 1000};
+    return std::max(peerTimeout - KeepAliveMargin, DefaultKeepAliveTimeout);
 }
 
 void HttpExchange::finish(HttpExchangeEnd end, const QString &reason)
@@ -198,12 +203,13 @@
     m_timeout.reset();
     m_stallTimer.reset();
     m_stream->setCallbacks({});
-    // An answer that came before the whole request had left, or with bytes behind it, leaves the
-    // connection in a state that a further request would be mixed up with.
-    const bool clean = m_incoming.isEmpty() && !m_odd && m_stream->unsentBytes() == 0;
-    const bool kept = m_options.reuseConnection || m_options.keepConnection;
-    if (end == HttpExchangeEnd::Complete && kept && clean && m_parser->keep_alive())
-        m_pool.give(m_endpoint, std::move(m_stream), keepFor());
+    // After a response that arrives before the request is sent completely, or that is followed by
+    // further bytes, leftover data on the connection would be mixed up with the next request.
+    const bool isReusable =
+        m_incoming.isEmpty() && !m_hasUnexpectedData && m_stream->unsentBytes() == 0;
+    const bool mayKeep = m_options.reuseConnection || m_options.keepConnection;
+    if (end == HttpExchangeEnd::Complete && mayKeep && isReusable && m_parser->keep_alive())
+        m_pool.release(m_endpoint, std::move(m_stream), keepAliveTimeout());
     else
         m_stream.reset();
     const auto callback = std::move(m_callbacks.finished);
--- a/src/http/HttpExchange.h
+++ b/src/http/HttpExchange.h
@@ -1,4 +1,3 @@
-// Defines HttpExchange, one request of the client under way.
 #pragma once
 
 #include "base/Units.h"
@@ -25,16 +24,17 @@
 class HttpResponseParser;
 }
 
-/// What the owner of an exchange is told. Every member may be empty. A callback may destroy
-/// the exchange.
+/// Callbacks to the owner of an exchange. Every member may be empty. A callback may destroy the
+/// exchange.
 struct HttpExchangeCallbacks {
     std::function<void(int status, const HttpHeaders &headers)> headers;
     std::function<void(const QByteArray &data)> body;
-    /// Called exactly once, last, unless the exchange is destroyed before.
+    /// Called exactly once, as the last callback, unless the exchange is destroyed before.
     std::function<void(HttpExchangeEnd end, const QString &reason)> finished;
 };
 
-/// One request and the answer to it as it comes. Destroying it closes the connection.
+/// One request of the client and the response to it, delivered as it arrives. Destroying an
+/// unfinished exchange closes its connection.
 /// Thread safety: only from the thread that made it.
 class HttpExchange
 {
@@ -48,14 +48,14 @@
     HttpExchange &operator=(const HttpExchange &) = delete;
 
 private:
-    void connected();
-    void watchForStall(Milliseconds delay);
-    void received(const QByteArray &data);
+    void handleConnected();
+    void startStallTimer(Milliseconds delay);
+    void handleData(const QByteArray &data);
     bool parse();
-    bool takeHeaders();
-    void ended(TcpEnd end);
+    bool processHeaders();
+    void handleEnd(TcpEnd end);
     void finish(HttpExchangeEnd end, const QString &reason);
-    Milliseconds keepFor() const;
+    Milliseconds keepAliveTimeout() const;
 
     HttpConnectionPool &m_pool;
     TimerService &m_timers;
@@ -71,12 +71,13 @@
     MonotonicTime m_lastProgress;
     std::unique_ptr<TcpStream> m_stream;
     bool m_connected = false;
-    /// The answer at hand is that to another request.
-    bool m_skipping = false;
-    /// Something came that no request asked for; the connection is not used again.
-    bool m_odd = false;
+    /// True while the response being parsed belongs to another request.
+    bool m_isSkippingResponse = false;
+    /// True if a response to another request was received; the connection is then not reused.
+    bool m_hasUnexpectedData = false;
     bool m_finished = false;
-    /// Set to true by the destructor, so that a loop that called back knows to stop.
+    /// Set to true by the destructor, so that a function that invoked a callback returns without
+    /// access to the destroyed object.
     std::shared_ptr<bool> m_destroyed;
 };
 
--- a/src/http/HttpExchangeEnd.h
+++ b/src/http/HttpExchangeEnd.h
@@ -1,21 +1,21 @@
-// Defines how an HTTP exchange of the client ended.
 #pragma once
 
 #include <QString>
 
 namespace cranberry {
 
-/// How far an exchange came; decides what may be said about whether the request ran.
+/// How an exchange of the client ended; determines what is known about whether the request ran.
 enum class HttpExchangeEnd {
-    /// The whole answer arrived.
+    /// The complete response was received.
     Complete,
-    /// No connection came about: no byte of the request left this process.
+    /// No connection was established: no byte of the request was sent.
     NotConnected,
-    /// The connection broke after bytes of the request had left and before the answer was whole.
+    /// The connection ended after it was established and before the response was complete; bytes of
+    /// the request may have been sent.
     Broken,
-    /// What came back was not HTTP.
+    /// The received data is not a valid HTTP response.
     Malformed,
-    /// The time limit passed after the connection was made.
+    /// A time limit passed after the connection was established.
     TimedOut,
 };
 
--- a/src/http/HttpExchangeOptions.h
+++ b/src/http/HttpExchangeOptions.h
@@ -1,4 +1,3 @@
-// Defines the options of an HTTP exchange of the client.
 #pragma once
 
 #include "base/Units.h"
@@ -9,23 +8,25 @@
 
 namespace cranberry {
 
+/// Options of one exchange of the client.
 struct HttpExchangeOptions {
-    /// Time for the whole exchange; zero is without limit.
+    /// Maximum time from the established connection to the complete response; zero means no limit.
     Milliseconds timeout{0};
-    /// Longest time without receiving data once connected; zero is without limit.
+    /// Maximum time without received data once connected; zero means no limit.
     Milliseconds stallTimeout{0};
-    /// Time in which the connection must come about.
+    /// Maximum time to establish the connection.
     Milliseconds connectTimeout{2000};
-    /// Take an idle connection if there is one, and leave it for the next when done. A reused
-    /// connection may turn out closed after bytes were written, so not for requests whose
-    /// "did not run" matters.
+    /// Use an idle connection if there is one, and return the connection to the pool when done. A
+    /// reused connection may prove to be closed after bytes were written. Not for requests for
+    /// which the caller must know that they did not run.
     bool reuseConnection = false;
-    /// Leave the connection for another exchange when done, whether or not it was a reused one.
+    /// Return the connection to the pool when done, whether or not it was a reused one.
     bool keepConnection = false;
-    /// A connection that has been idle for longer is not reused; unset: any may be.
-    std::optional<Milliseconds> mostIdle;
-    /// A target repeats this header's value in its answer. An answer with another value belongs
-    /// to an earlier request of the connection and is skipped. Empty: not checked.
+    /// A connection that has been idle for longer is not reused; no limit if unset.
+    std::optional<Milliseconds> maxIdleTime;
+    /// Name of a header whose value a target repeats in its response. A response with a value other
+    /// than echoValue belongs to an earlier request on the connection and is skipped. Not checked
+    /// if empty.
     QByteArray echoHeader;
     QByteArray echoValue;
 };
--- a/src/http/HttpHeaders.h
+++ b/src/http/HttpHeaders.h
@@ -1,4 +1,3 @@
-// Defines HttpHeaders, the header fields of a request or response.
 #pragma once
 
 #include <QByteArray>
@@ -7,7 +6,8 @@
 
 namespace cranberry {
 
-/// Fields in the order in which they came. Names are compared without regard to case.
+/// The header fields of a request or response, in the order in which they were added. Names are
+/// case-insensitive.
 /// Thread safety: a value type.
 class HttpHeaders
 {
@@ -43,7 +43,7 @@
 
     const QList<Field> &fields() const { return m_fields; }
 
-    /// Bytes that the fields take on the wire, separators included.
+    /// Size in bytes of the serialized fields, including separators and line ends.
     qsizetype wireSize() const
     {
         qsizetype size = 0;
--- a/src/http/HttpListener.cpp
+++ b/src/http/HttpListener.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// Bounds of time are checked this often; they are seconds.
-constexpr Milliseconds SweepInterval{250};
-constexpr int Backlog = 1024;
+/// Interval at which the time limits of connections, which are in seconds, are checked.
+constexpr Milliseconds TimeoutCheckInterval{250};
+constexpr int ListenBacklog = 1024;
 
 Error listenError(const HttpEndpoint &endpoint)
 {
@@ -34,13 +34,13 @@
 
 } // namespace
 
-HttpListener::HttpListener(TimerService &timers, Handler handler, Rejection rejection)
+HttpListener::HttpListener(TimerService &timers, Handler handler, RejectionFactory makeRejection)
     : m_timers(timers)
-    , m_context{timers, m_limits, std::move(handler), std::move(rejection), m_closing, {}}
-    , m_sweep(timers.every(SweepInterval, [this] {
+    , m_context{timers, m_limits, std::move(handler), std::move(makeRejection), m_closing, {}}
+    , m_timeoutTimer(timers.every(TimeoutCheckInterval, [this] {
         const auto connections = m_connections;
         for (const auto &connection : connections)
-            connection->sweep();
+            connection->enforceTimeouts();
     }))
 {
     m_context.ended = [this](CallerConnection *connection) { m_connections.remove(connection); };
@@ -64,7 +64,8 @@
     auto *generic = reinterpret_cast<sockaddr *>(&address);
     socklen_t size = sizeof(address);
     if (!isValid || m_descriptor < 0 || ::bind(m_descriptor, generic, size) != 0
-        || ::listen(m_descriptor, Backlog) != 0 || ::getsockname(m_descriptor, generic, &size) != 0)
+        || ::listen(m_descriptor, ListenBacklog) != 0
+        || ::getsockname(m_descriptor, generic, &size) != 0)
         return listenError(endpoint);
     m_notifier = new QSocketNotifier(m_descriptor, QSocketNotifier::Read);
     QObject::connect(m_notifier, &QSocketNotifier::activated, m_notifier, [this] { accept(); });
--- a/src/http/HttpListener.h
+++ b/src/http/HttpListener.h
@@ -1,4 +1,3 @@
-// Defines HttpListener, which accepts callers' connections and hands over their requests.
 #pragma once
 
 #include "base/Result.h"
@@ -17,38 +16,39 @@
 
 class TimerSubscription;
 
-/// An HTTP/1.1 listener for requests whose bodies are forwarded unread. Qt's server hides the end
-/// of a caller's connection and answers only after its own parsing; docs/design/0001 weighs both.
+/// An HTTP/1.1 listener that accepts callers' connections and passes on their requests, whose
+/// bodies are forwarded without being parsed. Qt's server does not report the end of a caller's
+/// connection and responds only after its own parsing; docs/design/0001 compares both.
 /// Thread safety: only from its own thread; handlers run in it.
 class HttpListener
 {
 public:
     using Handler =
         std::function<void(const HttpRequest &request, const std::shared_ptr<CallerReply> &reply)>;
-    using Rejection = std::function<HttpResponse(ErrorKind kind)>;
+    using RejectionFactory = std::function<HttpResponse(ErrorKind kind)>;
 
     /// Precondition: @p timers outlives the listener.
-    HttpListener(TimerService &timers, Handler handler, Rejection rejection);
+    HttpListener(TimerService &timers, Handler handler, RejectionFactory makeRejection);
     ~HttpListener();
     HttpListener(const HttpListener &) = delete;
     HttpListener &operator=(const HttpListener &) = delete;
 
-    /// Starts to listen; port 0 takes a free one. Returns the port.
-    /// Precondition: not listening. Error: BadRequest with the system's reason.
+    /// Starts listening and returns the port; port 0 selects a free one.
+    /// Precondition: not listening. Error: BadRequest with the system's error message.
     Result<quint16> listenOn(const HttpEndpoint &endpoint);
-    /// Replaces the handler given first.
+    /// Replaces the handler that was passed to the constructor.
     void setHandler(Handler handler) { m_context.handler = std::move(handler); }
-    /// Holds for requests that begin from now on.
+    /// Applies to each request whose first byte is received from now on.
     void setLimits(const CallerLimits &limits) { m_limits = limits; }
-    /// Answers from now on end their connection.
-    void closeAfterAnswers() { m_closing = true; }
-    /// Closes connections without a request; answers end theirs.
+    /// Closes each connection after its next response.
+    void closeAfterResponses() { m_closing = true; }
+    /// Closes connections without a request now, and the others after their next response.
     void closeIdle();
-    /// Accepts no further connections; open ones stay.
+    /// Stops accepting connections; open ones remain open.
     void stopAccepting();
 
     int openConnections() const { return int(m_connections.size()); }
-    /// Connections with a request that is not answered yet, or with unsent bytes.
+    /// Number of connections with an incomplete response or with unsent bytes.
     int busyConnections() const;
 
 private:
@@ -61,7 +61,7 @@
     QSocketNotifier *m_notifier = nullptr;
     CallerConnectionContext m_context;
     QHash<CallerConnection *, std::shared_ptr<CallerConnection>> m_connections;
-    std::unique_ptr<TimerSubscription> m_sweep;
+    std::unique_ptr<TimerSubscription> m_timeoutTimer;
 };
 
 } // namespace cranberry
--- a/src/http/HttpRequest.h
+++ b/src/http/HttpRequest.h
@@ -1,4 +1,3 @@
-// Defines HttpRequest, one request as the server received it or the client sends it.
 #pragma once
 
 #include "http/HttpHeaders.h"
@@ -7,9 +6,10 @@
 
 namespace cranberry {
 
+/// A request as the server received it or as the client sends it.
 struct HttpRequest {
     QByteArray method;
-    /// Path without the query, as it was encoded.
+    /// Percent-encoded path without the query.
     QByteArray path;
     QUrlQuery query;
     HttpHeaders headers;
--- a/src/http/HttpRequestParser.cpp
+++ b/src/http/HttpRequestParser.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-QByteArray bytesOf(boost::beast::string_view view)
+QByteArray toByteArray(boost::beast::string_view view)
 {
     return {view.data(), qsizetype(view.size())};
 }
@@ -23,15 +23,15 @@
 void HttpRequestParser::on_request_impl(boost::beast::http::verb, View method, View target, int,
                                         Error &)
 {
-    m_request.method = bytesOf(method);
-    m_request.path = bytesOf(target);
+    m_request.method = toByteArray(method);
+    m_request.path = toByteArray(target);
 }
 
 void HttpRequestParser::on_response_impl(int, View, int, Error &) { }
 
 void HttpRequestParser::on_field_impl(boost::beast::http::field, View name, View value, Error &)
 {
-    m_request.headers.add(bytesOf(name), bytesOf(value));
+    m_request.headers.add(toByteArray(name), toByteArray(value));
 }
 
 void HttpRequestParser::on_header_impl(Error &) { }
--- a/src/http/HttpRequestParser.h
+++ b/src/http/HttpRequestParser.h
@@ -1,4 +1,3 @@
-// Defines HttpRequestParser, the incremental parser of requests of one connection.
 #pragma once
 
 #include "http/HttpRequest.h"
@@ -7,18 +6,18 @@
 
 namespace cranberry::internal {
 
-/// Collects one request with its whole body; strict about framing, as Boost.Beast is: a length
-/// given twice, or beside a chunked body, is an error, so that no second request can hide in the
-/// body of the first.
+/// Incremental parser of one request on a connection, including its complete body. Framing is as
+/// strict as in Boost.Beast: a duplicate Content-Length, or one together with a chunked body, is an
+/// error. This prevents request smuggling.
 /// Thread safety: only from the thread of its connection.
 class HttpRequestParser final : public boost::beast::http::basic_parser<true>
 {
 public:
     HttpRequestParser(std::uint32_t headerLimit, std::uint64_t bodyLimit);
 
-    /// The request; its path holds the target as it was sent, with the query.
+    /// The request; its path holds the request target as received, including the query.
     const HttpRequest &request() const { return m_request; }
-    /// A byte of the request has come.
+    /// True if a byte of the request was received.
     bool hasBegun() const { return m_begun; }
     void setBegun() { m_begun = true; }
 
--- a/src/http/HttpResponder.cpp
+++ b/src/http/HttpResponder.cpp
@@ -11,14 +11,14 @@
     , m_socket(socket)
     , m_unreadLimit(unreadLimit)
 {
-    m_disconnected =
-        QObject::connect(socket, &QTcpSocket::disconnected, socket, [this] { callerGone(); });
+    m_disconnectedConnection = QObject::connect(socket, &QTcpSocket::disconnected, socket,
+                                                [this] { handleDisconnected(); });
 }
 
 HttpResponder::~HttpResponder()
 {
-    QObject::disconnect(m_disconnected);
-    // An answer that nobody completed must not look complete to the caller.
+    QObject::disconnect(m_disconnectedConnection);
+    // An incomplete response must not look complete to the caller.
     if (m_state != State::Complete)
         abort();
 }
@@ -90,23 +90,23 @@
 {
     m_state = State::Complete;
     m_responder.reset();
-    QObject::disconnect(m_disconnected);
-    if (m_completed)
-        m_completed();
+    QObject::disconnect(m_disconnectedConnection);
+    if (m_onComplete)
+        m_onComplete();
 }
 
 void HttpResponder::onCallerGone(std::function<void()> callback)
 {
-    m_callerGone = std::move(callback);
+    m_onCallerGone = std::move(callback);
 }
 
-void HttpResponder::callerGone()
+void HttpResponder::handleDisconnected()
 {
     if (m_state == State::Complete)
         return;
     m_state = State::Complete;
     m_responder.reset();
-    const std::function<void()> callback = std::exchange(m_callerGone, nullptr);
+    const std::function<void()> callback = std::exchange(m_onCallerGone, nullptr);
     if (callback)
         callback();
 }
--- a/src/http/HttpResponder.h
+++ b/src/http/HttpResponder.h
@@ -1,4 +1,3 @@
-// Defines HttpResponder, the way back to the caller of one request.
 #pragma once
 
 #include "base/Units.h"
@@ -17,17 +16,17 @@
 
 struct HttpResponse;
 
-/// Answers one request, whole or as a chunked stream. It outlives the connection safely:
-/// once the caller has gone, everything written is dropped.
+/// Sends the response to one request, in one piece or as a chunked stream. It may outlive the
+/// connection: after the caller has disconnected, all writes are dropped.
 /// Thread safety: only from the thread of the server.
 class HttpResponder
 {
 public:
     enum class WriteResult {
         Written,
-        /// The caller has gone; nothing was written.
+        /// The caller has disconnected; nothing was written.
         Gone,
-        /// The caller does not read and the bound of unread bytes is reached.
+        /// The caller does not read and the limit of unread bytes is exceeded.
         TooSlow,
     };
 
@@ -36,29 +35,30 @@
     HttpResponder(const HttpResponder &) = delete;
     HttpResponder &operator=(const HttpResponder &) = delete;
 
-    /// Sends a whole answer. Precondition: nothing was sent before.
+    /// Sends a complete response. Precondition: nothing was sent before.
     void send(const HttpResponse &response);
 
-    /// Begins a stream. Precondition: nothing was sent before.
+    /// Starts a chunked stream. Precondition: nothing was sent before.
     void startStream(int status, const HttpHeaders &headers);
 
-    /// Sends one chunk. Precondition: a stream was begun and not ended.
+    /// Sends one chunk. Precondition: a stream was started and not ended.
     WriteResult write(const QByteArray &data);
 
-    /// Ends the stream regularly. Precondition: a stream was begun and not ended.
+    /// Ends the stream with the final chunk. Precondition: a stream was started and not ended.
     void end();
 
-    /// Closes the connection at once, so that the caller sees a broken answer.
+    /// Closes the connection at once, so that the caller sees an incomplete response.
     void abort();
 
     bool isStarted() const { return m_state != State::Unanswered; }
     bool isOpen() const;
 
-    /// @p callback is called once if the caller leaves before the answer is complete.
+    /// @p callback is called once if the caller disconnects before the response is complete.
     void onCallerGone(std::function<void()> callback);
 
-    /// Called by the server when an answer is complete, to take the next request.
-    void onComplete(std::function<void()> callback) { m_completed = std::move(callback); }
+    /// The server sets @p callback to learn when the response is complete and the connection can
+    /// take the next request.
+    void onComplete(std::function<void()> callback) { m_onComplete = std::move(callback); }
 
 private:
     enum class State {
@@ -69,15 +69,15 @@
 
     void writeHead(int status, const HttpHeaders &headers);
     void complete();
-    void callerGone();
+    void handleDisconnected();
 
     std::optional<QHttpServerResponder> m_responder;
     QPointer<QTcpSocket> m_socket;
     Bytes m_unreadLimit;
     State m_state = State::Unanswered;
-    std::function<void()> m_callerGone;
-    std::function<void()> m_completed;
-    QMetaObject::Connection m_disconnected;
+    std::function<void()> m_onCallerGone;
+    std::function<void()> m_onComplete;
+    QMetaObject::Connection m_disconnectedConnection;
 };
 
 } // namespace cranberry
--- a/src/http/HttpResponseParser.cpp
+++ b/src/http/HttpResponseParser.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t HeaderLimitBytes = 64 * 1024;
-/// Boost 1.74 compares a Content-Length with an absent limit and finds every length too large.
+/// Boost 1.74 rejects every Content-Length as too large if the body limit is unset.
 constexpr std::uint64_t NoBodyLimit = std::numeric_limits<std::uint64_t>::max();
 
 } // namespace
--- a/src/http/HttpResponseParser.h
+++ b/src/http/HttpResponseParser.h
@@ -1,4 +1,3 @@
-// Defines HttpResponseParser, the incremental parser of answers inside an HTTP exchange.
 #pragma once
 
 #include "http/HttpHeaders.h"
@@ -7,7 +6,8 @@
 
 namespace cranberry::internal {
 
-/// Collects what one step of Boost.Beast's parser yields.
+/// Incremental parser of the responses in an HTTP exchange. Collects the output of Boost.Beast's
+/// parser.
 /// Thread safety: only from the thread of its exchange.
 class HttpResponseParser final : public boost::beast::http::basic_parser<false>
 {
@@ -16,7 +16,7 @@
 
     int status() const { return m_status; }
     const HttpHeaders &headers() const { return m_headers; }
-    /// Body bytes since the last call.
+    /// Returns the body bytes parsed since the last call.
     QByteArray takeBody() { return std::exchange(m_body, {}); }
 
 private:
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -93,15 +93,15 @@
 
 bool HttpServer::handleRequest(const QHttpServerRequest &request, QTcpSocket *socket)
 {
-    // QHttpServer would interleave the answers of pipelined requests; callers that pipeline
-    // are disconnected instead.
+    // QHttpServer would interleave the responses to pipelined requests, so callers that pipeline
+    // are disconnected.
     if (m_listener->isAnswering(socket)) {
         socket->abort();
         return true;
     }
     m_listener->requestArrived(socket);
     auto responder = std::make_shared<HttpResponder>(makeResponder(request, socket), socket,
-                                                     m_limits.unreadAnswer);
+                                                     m_limits.maxUnreadResponse);
     responder->onComplete([this, socket = QPointer<QTcpSocket>(socket)] {
         if (socket)
             m_listener->requestAnswered(socket);
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -1,4 +1,3 @@
-// Defines HttpServer, an HTTP/1.1 server with bounds on what callers can make it hold.
 #pragma once
 
 #include "base/Result.h"
@@ -17,7 +16,8 @@
 class TimerService;
 struct HttpRequest;
 
-/// Hands each request to one handler, which answers now or later.
+/// An HTTP/1.1 server that limits the resources a caller can hold. Passes each request to one
+/// handler, which may respond synchronously or later.
 /// Thread safety: only from its own thread; handlers run in it.
 class HttpServer final : public QAbstractHttpServer
 {
@@ -29,15 +29,15 @@
                QObject *parent = nullptr);
     ~HttpServer() override;
 
-    /// Starts to listen; port 0 takes a free one. Returns the port.
-    /// Precondition: not listening. Error: BadRequest with the system's reason.
+    /// Starts listening and returns the port; port 0 selects a free one.
+    /// Precondition: not listening. Error: BadRequest with the system's error message.
     Result<quint16> listenOn(const QHostAddress &address, quint16 port);
 
-    /// Accepts no further connections; open ones stay.
+    /// Stops accepting connections; open ones remain open.
     void stopListening();
 
     int openConnections() const;
-    /// Bytes of answers that have not reached the system's socket buffers yet.
+    /// Bytes of responses that are not yet passed to the system's socket buffers.
     qint64 unsentBytes() const;
 
 protected:
--- a/src/http/TcpStream.cpp
+++ b/src/http/TcpStream.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr qsizetype ReadSize = 64 * 1024;
-/// Idle time before the first keep-alive probe, time between probes and unanswered probes:
-/// together TcpStream::PeerTimeout.
-constexpr int ProbeAfterSeconds = 1;
-constexpr int ProbeEverySeconds = 1;
-constexpr int ProbeCount = 2;
+constexpr qsizetype ReadBufferBytes = 64 * 1024;
+/// Idle time before the first keep-alive probe, interval between probes and number of unanswered
+/// probes until the connection is aborted: in total TcpStream::PeerTimeout.
+constexpr int KeepAliveIdleSeconds = 1;
+constexpr int KeepAliveIntervalSeconds = 1;
+constexpr int KeepAliveProbeCount = 2;
 
 void setOption(int descriptor, int level, int option, int value)
 {
-    // Best effort: an option that the system refuses only makes a dead peer be found later.
+    // Best effort: if the system rejects an option, a dead peer is only detected later.
     (void)::setsockopt(descriptor, level, option, &value, sizeof(value));
 }
 
@@ -32,9 +32,9 @@
 {
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, ProbeAfterSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, ProbeEverySeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, ProbeCount);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveIdleSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveIntervalSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, KeepAliveProbeCount);
     setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, int(TcpStream::PeerTimeout.count()));
 }
 
@@ -61,7 +61,7 @@
         : -1;
     if (result < 0 && (!isValid || errno != EINPROGRESS)) {
         stream->closeDescriptor(false);
-        stream->endLater();
+        stream->scheduleNotConnected();
     }
     return stream;
 }
@@ -76,26 +76,28 @@
     , m_state(state)
     , m_destroyed(std::make_shared<bool>(false))
 {
-    m_writer = new QSocketNotifier(QSocketNotifier::Write);
-    m_reader = new QSocketNotifier(QSocketNotifier::Read);
+    m_writeNotifier = new QSocketNotifier(QSocketNotifier::Write);
+    m_readNotifier = new QSocketNotifier(QSocketNotifier::Read);
     if (descriptor < 0) {
-        endLater();
+        scheduleNotConnected();
         return;
     }
     setOptions(descriptor);
-    m_writer->setSocket(descriptor);
-    QObject::connect(m_writer, &QSocketNotifier::activated, m_writer, [this] { writable(); });
-    m_writer->setEnabled(state == State::Connecting);
-    m_reader->setSocket(descriptor);
-    QObject::connect(m_reader, &QSocketNotifier::activated, m_reader, [this] { readable(); });
-    m_reader->setEnabled(state == State::Connected);
+    m_writeNotifier->setSocket(descriptor);
+    QObject::connect(m_writeNotifier, &QSocketNotifier::activated, m_writeNotifier,
+                     [this] { handleWritable(); });
+    m_writeNotifier->setEnabled(state == State::Connecting);
+    m_readNotifier->setSocket(descriptor);
+    QObject::connect(m_readNotifier, &QSocketNotifier::activated, m_readNotifier,
+                     [this] { handleReadable(); });
+    m_readNotifier->setEnabled(state == State::Connected);
 }
 
 TcpStream::~TcpStream()
 {
     *m_destroyed = true;
-    closeDescriptor(!m_finishing || unsentBytes() > 0);
-    for (QSocketNotifier *notifier : {m_reader, m_writer}) {
+    closeDescriptor(!m_shutDownRequested || unsentBytes() > 0);
+    for (QSocketNotifier *notifier : {m_readNotifier, m_writeNotifier}) {
         notifier->disconnect();
         notifier->deleteLater();
     }
@@ -108,33 +110,33 @@
 
 void TcpStream::write(const QByteArray &data)
 {
-    if (m_state == State::Ended || m_finishing)
+    if (m_state == State::Ended || m_shutDownRequested)
         return;
-    if (m_sent == m_outgoing.size()) {
+    if (m_sentBytes == m_outgoing.size()) {
         m_outgoing.clear();
-        m_sent = 0;
+        m_sentBytes = 0;
     }
     m_outgoing += data;
-    if (m_state == State::Connected && !m_writer->isEnabled())
+    if (m_state == State::Connected && !m_writeNotifier->isEnabled())
         flush();
 }
 
-void TcpStream::finishSending()
+void TcpStream::shutDownSending()
 {
-    if (m_finishing)
+    if (m_shutDownRequested)
         return;
-    m_finishing = true;
+    m_shutDownRequested = true;
     if (m_state == State::Connected && unsentBytes() == 0)
         ::shutdown(m_descriptor, SHUT_WR);
 }
 
-void TcpStream::setReading(bool reading)
+void TcpStream::setReadingEnabled(bool enabled)
 {
     if (m_state == State::Connected)
-        m_reader->setEnabled(reading);
+        m_readNotifier->setEnabled(enabled);
 }
 
-QByteArray TcpStream::peerName() const
+QByteArray TcpStream::peerAddress() const
 {
     sockaddr_in address{};
     socklen_t size = sizeof(address);
@@ -146,7 +148,7 @@
     return QByteArray(text) + ':' + QByteArray::number(ntohs(address.sin_port));
 }
 
-void TcpStream::writable()
+void TcpStream::handleWritable()
 {
     if (m_state == State::Connecting) {
         int error = 0;
@@ -157,10 +159,10 @@
             return;
         }
         m_state = State::Connected;
-        m_writer->setEnabled(false);
-        m_reader->setEnabled(true);
+        m_writeNotifier->setEnabled(false);
+        m_readNotifier->setEnabled(true);
         const std::shared_ptr<bool> destroyed = m_destroyed;
-        // Copied, as the call may replace or destroy it.
+        // Copied, because the call may replace the callbacks or destroy the stream.
         const auto callback = m_callbacks.connected;
         if (callback)
             callback();
@@ -173,30 +175,30 @@
 void TcpStream::flush()
 {
     while (unsentBytes() > 0) {
-        const ssize_t count = ::send(m_descriptor, m_outgoing.constData() + m_sent,
+        const ssize_t count = ::send(m_descriptor, m_outgoing.constData() + m_sentBytes,
                                      size_t(unsentBytes()), MSG_NOSIGNAL);
         if (count > 0) {
-            m_sent += count;
+            m_sentBytes += count;
             continue;
         }
-        // A broken connection shows at the reader as well, which reports it outside this call.
-        m_writer->setEnabled(isTransient(errno));
+        // The read notifier also detects a broken connection and reports it outside this call.
+        m_writeNotifier->setEnabled(isTransient(errno));
         return;
     }
-    m_writer->setEnabled(false);
+    m_writeNotifier->setEnabled(false);
     m_outgoing.clear();
-    m_sent = 0;
-    if (m_finishing)
+    m_sentBytes = 0;
+    if (m_shutDownRequested)
         ::shutdown(m_descriptor, SHUT_WR);
     const auto callback = m_callbacks.flushed;
     if (callback)
         callback();
 }
 
-void TcpStream::readable()
+void TcpStream::handleReadable()
 {
-    QByteArray data(ReadSize, Qt::Uninitialized);
-    const ssize_t count = ::recv(m_descriptor, data.data(), size_t(ReadSize), 0);
+    QByteArray data(ReadBufferBytes, Qt::Uninitialized);
+    const ssize_t count = ::recv(m_descriptor, data.data(), size_t(ReadBufferBytes), 0);
     if (count > 0) {
         data.truncate(count);
         data.squeeze();
@@ -221,21 +223,21 @@
         callback(end);
 }
 
-void TcpStream::endLater()
+void TcpStream::scheduleNotConnected()
 {
-    // No callback runs inside the call that made the stream.
+    // Queued, so that no callback runs inside the call that creates the stream.
     QMetaObject::invokeMethod(
-        m_writer, [this] { end(TcpEnd::NotConnected); }, Qt::QueuedConnection);
+        m_writeNotifier, [this] { end(TcpEnd::NotConnected); }, Qt::QueuedConnection);
 }
 
 void TcpStream::closeDescriptor(bool reset)
 {
     if (m_descriptor < 0)
         return;
-    m_writer->setEnabled(false);
-    m_reader->setEnabled(false);
+    m_writeNotifier->setEnabled(false);
+    m_readNotifier->setEnabled(false);
     if (reset) {
-        // A reset tells the peer at once; an orderly close would let it go on working.
+        // A reset notifies the peer at once; after an orderly close it would continue its work.
         const linger abortive{1, 0};
         (void)::setsockopt(m_descriptor, SOL_SOCKET, SO_LINGER, &abortive, sizeof(abortive));
     }
--- a/src/http/TcpStream.h
+++ b/src/http/TcpStream.h
@@ -1,4 +1,3 @@
-// Defines TcpStream, one TCP connection on the Qt event loop.
 #pragma once
 
 #include "base/Units.h"
@@ -16,58 +15,62 @@
 
 /// How a connection ended.
 enum class TcpEnd {
-    /// It never came about; no byte left.
+    /// The connection was never established; no byte was sent.
     NotConnected,
-    /// The peer closed its side in order.
+    /// The peer closed its side of the connection in order.
     Closed,
-    /// The peer or the system broke it off; bytes may be missing.
+    /// The peer or the system aborted the connection; bytes may be missing.
     Reset,
 };
 
+/// Callbacks of a TcpStream. Every member may be empty.
 struct TcpStreamCallbacks {
     std::function<void()> connected;
     std::function<void(const QByteArray &data)> received;
-    /// Called once; nothing follows.
+    /// Called once, as the last callback.
     std::function<void(TcpEnd end)> ended;
-    /// All bytes written so far were handed to the system.
+    /// Called when all bytes written so far were passed to the system.
     std::function<void()> flushed;
 };
 
-/// A connection over a non-blocking socket. QTcpSocket reports a reset as an orderly close, and
-/// an answer without a length would then look whole although its end is missing; here the two
-/// differ. A peer that vanished without a word is found by keep-alive probes and by the bound on
-/// unacknowledged bytes, both within PeerTimeout.
+/// A TCP connection over a non-blocking socket on the Qt event loop. QTcpSocket reports a reset as
+/// an orderly close, so that a truncated response without a length would look complete. TcpStream
+/// reports the two differently. A peer that disappears without closing the connection is detected
+/// within PeerTimeout, by keep-alive probes and by the timeout for unacknowledged data.
 /// Thread safety: only from the thread of its event loop. A callback may destroy the stream.
 class TcpStream
 {
 public:
-    /// A peer that acknowledges nothing for this long is taken for gone. Found on a link that
-    /// went silent without a reset; a round trip between regions takes under 30 ms.
+    /// A peer that acknowledges nothing for this long is considered disconnected. Detects a link
+    /// that drops all packets without a reset; a round trip between regions takes under 30 ms.
     static constexpr Milliseconds PeerTimeout{3000};
 
-    /// Begins to connect to @p endpoint.
+    /// Starts to connect to @p endpoint. A failure is reported through the callback ended.
     static std::unique_ptr<TcpStream> connectTo(const HttpEndpoint &endpoint);
-    /// Takes over the accepted socket @p descriptor.
+    /// Takes ownership of the accepted socket @p descriptor.
     static std::unique_ptr<TcpStream> adopt(int descriptor);
-    /// Closes the connection; unsent bytes are dropped and the peer sees a reset.
+    /// Closes the connection with a reset and drops unsent bytes; with an orderly close if
+    /// shutDownSending() was called and all bytes were sent.
     ~TcpStream();
     TcpStream(const TcpStream &) = delete;
     TcpStream &operator=(const TcpStream &) = delete;
 
     /// Replaces the callbacks.
     void setCallbacks(TcpStreamCallbacks callbacks);
-    /// Sends @p data as soon as the connection takes it; does nothing once it has ended.
+    /// Sends @p data as soon as the socket accepts it; does nothing after shutDownSending() or
+    /// after the end of the connection.
     void write(const QByteArray &data);
-    /// Sends what is pending and closes the sending side; the peer sees an orderly end.
-    void finishSending();
-    /// Stops or goes on reading; a stopped reader holds the peer back.
-    void setReading(bool reading);
+    /// Shuts down the sending side in order after all pending bytes are sent.
+    void shutDownSending();
+    /// Pauses or resumes reading. While reading is paused, TCP flow control stops the peer's
+    /// sending. Does nothing unless connected.
+    void setReadingEnabled(bool enabled);
 
     bool isConnected() const { return m_state == State::Connected; }
-    /// Bytes written that the system has not taken yet.
-    qsizetype unsentBytes() const { return m_outgoing.size() - m_sent; }
-    /// The peer's address; empty before the connection came about.
-    QByteArray peerName() const;
+    /// Bytes written that are not yet passed to the system.
+    qsizetype unsentBytes() const { return m_outgoing.size() - m_sentBytes; }
+    /// The peer's address and port; empty if there is no connection.
+    QByteArray peerAddress() const;
 
 private:
     enum class State {
@@ -77,22 +80,23 @@
     };
 
     TcpStream(int descriptor, State state);
-    void writable();
-    void readable();
+    void handleWritable();
+    void handleReadable();
     void flush();
     void end(TcpEnd end);
-    void endLater();
+    void scheduleNotConnected();
     void closeDescriptor(bool reset);
 
     int m_descriptor;
     State m_state;
-    bool m_finishing = false;
+    bool m_shutDownRequested = false;
     QByteArray m_outgoing;
-    qsizetype m_sent = 0;
+    qsizetype m_sentBytes = 0;
     TcpStreamCallbacks m_callbacks;
-    QSocketNotifier *m_reader = nullptr;
-    QSocketNotifier *m_writer = nullptr;
-    /// Set by the destructor, so that a method that called back knows to stop.
+    QSocketNotifier *m_readNotifier = nullptr;
+    QSocketNotifier *m_writeNotifier = nullptr;
+    /// Set to true by the destructor, so that a method that invoked a callback returns without
+    /// access to the destroyed object.
     std::shared_ptr<bool> m_destroyed;
 };
 
--- a/src/relay/RelayAttempt.cpp
+++ b/src/relay/RelayAttempt.cpp
@@ -27,7 +27,7 @@
     options.connectTimeout = ConnectTimeout;
     options.reuseConnection = reuseIdle.count() > 0;
     options.keepConnection = true;
-    options.mostIdle = reuseIdle;
+    options.maxIdleTime = reuseIdle;
     options.echoHeader = context.protocol.echoHeader;
     options.echoValue = request.id.text().toUtf8();
     return options;
--- a/src/relay/RelayDaemon.cpp
+++ b/src/relay/RelayDaemon.cpp
@@ -310,7 +310,7 @@
              {{"vm", m_parts->settings.vm.text()},
               {"running", QString::number(m_parts->gateway.running())}});
     m_parts->gateway.drainUntil(m_drainBegan + m_parts->settings.grace);
-    m_parts->callers.closeAfterAnswers();
+    m_parts->callers.closeAfterResponses();
     m_parts->feed.drain();
     m_drainTimer = m_parts->timers.every(DrainCheck, [this] { finishDrainWhenIdle(); });
 }
--- a/src/relay/RoomReservation.cpp
+++ b/src/relay/RoomReservation.cpp
@@ -23,7 +23,7 @@
     options.timeout = timeout;
     options.reuseConnection = overKeptConnection;
     options.keepConnection = true;
-    options.mostIdle = MostIdle;
+    options.maxIdleTime = MostIdle;
     return options;
 }
 
--- a/test/correctness/HttpConnections.cpp
+++ b/test/correctness/HttpConnections.cpp
@@ -71,7 +71,7 @@
 {
     HttpExchangeOptions options;
     options.reuseConnection = true;
-    options.mostIdle = 0ms;
+    options.maxIdleTime = 0ms;
     for (int i = 0; i < 3; ++i)
         fetch(options);
     BOOST_TEST(connections == 3);
--- a/test/error/HttpBounds.cpp
+++ b/test/error/HttpBounds.cpp
@@ -25,7 +25,7 @@
         limits.body = Bytes(BodyLimit);
         limits.headers = Bytes(8 * 1024);
         limits.connections = 4;
-        limits.requestArrival = Milliseconds(200);
+        limits.requestTimeout = Milliseconds(200);
         server = std::make_unique<HttpServer>(
             timers, limits,
             [this](const HttpRequest &, const std::shared_ptr<HttpResponder> &responder) {
