--- a/src/base/CrashReport.cpp
+++ b/src/base/CrashReport.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// Unwinding and symbolizing take some ten KB.
-constexpr std::size_t StackBytes = 256 * 1024;
+/// Size of the alternate signal stack; unwinding and symbolizing need about 10 KB.
+constexpr std::size_t SignalStackBytes = 256 * 1024;
 constexpr std::array FatalSignals{SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT};
 
-alignas(16) std::array<char, StackBytes> alternateStack;
+alignas(16) std::array<char, SignalStackBytes> alternateStack;
 
-/// Called in the handler with each part of the report. Only async-signal-safe calls are allowed.
+/// Called by the signal handler with each part of the report; must be async-signal-safe.
 void writeReport(const char *data, std::size_t size)
 {
     if (LogSink *sink = LogSink::current())
@@ -27,12 +27,12 @@
     (void)!::write(STDERR_FILENO, data, size);
 }
 
-void handleOnAlternateStack(int number)
+void enableAlternateStack(int signalNumber)
 {
     struct sigaction action = {};
-    ::sigaction(number, nullptr, &action);
+    ::sigaction(signalNumber, nullptr, &action);
     action.sa_flags |= SA_ONSTACK;
-    ::sigaction(number, &action, nullptr);
+    ::sigaction(signalNumber, &action, nullptr);
 }
 
 } // namespace
@@ -45,8 +45,8 @@
     stack.ss_sp = alternateStack.data();
     stack.ss_size = alternateStack.size();
     ::sigaltstack(&stack, nullptr);
-    for (const int number : FatalSignals)
-        handleOnAlternateStack(number);
+    for (const int signalNumber : FatalSignals)
+        enableAlternateStack(signalNumber);
 }
 
 } // namespace cranberry
--- a/src/base/CrashReport.h
+++ b/src/base/CrashReport.h
@@ -1,12 +1,10 @@
-// Defines installCrashReport, by which a process that crashes leaves its last log lines and its
-// stack.
 #pragma once
 
 namespace cranberry {
 
-/// From now on a fatal signal first writes the lines that LogSink still buffers to standard output
-/// and then the stack of the main thread to standard error. The signal is handled on a stack of its
-/// own, because one that has overflowed has no room for a handler.
+/// Installs a handler for fatal signals. It first writes the lines that LogSink still buffers to
+/// standard output and then the stack of the main thread to standard error. The handler runs on an
+/// alternate stack, because an overflowed stack has no space for it.
 /// Thread safety: only from the main thread, once.
 void installCrashReport();
 
--- a/src/base/ErrorKind.h
+++ b/src/base/ErrorKind.h
@@ -1,4 +1,3 @@
-// Defines the closed list of error kinds and the table from kind to answer.
 #pragma once
 
 #include <QByteArray>
@@ -8,7 +7,7 @@
 
 namespace cranberry {
 
-/// Every way in which a request can fail. The order is that of the table below.
+/// The closed list of error kinds of requests. Must be in the order of the table in ErrorKind.cpp.
 enum class ErrorKind {
     BadRequest,
     BadHeader,
@@ -50,23 +49,23 @@
     Yes,
 };
 
-/// One row of the table from kind to answer.
+/// The response to an error kind: one row of the table in ErrorKind.cpp.
 struct ErrorAnswer {
     ErrorKind kind;
     const char *name;
     int httpStatus;
     const char *title;
-    /// Default for the Retry-After header; absent where sending again cannot help.
+    /// Default for the Retry-After header; nullopt if a retry cannot succeed.
     std::optional<int> retryAfterSeconds;
 };
 
 /// The row for @p kind. Precondition: @p kind is an enumerator. Thread-safe.
 const ErrorAnswer &errorAnswer(ErrorKind kind);
 
-/// The kind whose row is named @p name, if there is one. Thread-safe.
+/// The error kind with the wire name @p name; nullopt if there is none. Thread-safe.
 std::optional<ErrorKind> errorKindFromName(const QByteArray &name);
 
-/// "no", "maybe" or "yes". Thread-safe.
+/// The wire name of @p ran: "no", "maybe" or "yes". Thread-safe.
 const char *ranName(Ran ran);
 
 } // namespace cranberry
--- a/src/base/EventId.h
+++ b/src/base/EventId.h
@@ -1,10 +1,10 @@
-// Defines the numbered log events; docs/EVENTS.md is the catalogue and is checked against it.
 #pragma once
 
 namespace cranberry {
 
-/// Number and name of each log event. Hundreds group them by aggregate; a number is never
-/// given to another event.
+/// The number and name of each log event; docs/EVENTS.md is the catalogue and is checked against
+/// this list. Numbers are grouped by hundreds, one group per aggregate. A number is never
+/// reused for another event.
 // X(enumerator, number, name)
 #define CRANBERRY_EVENTS(X)                                                                        \
     X(DaemonStarted, 1001, "daemon.started")                                                       \
@@ -92,6 +92,7 @@
     X(SettingsReloaded, 1005, "settings.reloaded")                                                 \
     X(LogDropped, 1006, "log.dropped")
 
+/// The log events by number.
 enum class EventId {
 // An enumerator cannot be put in parentheses.
 // NOLINTNEXTLINE(bugprone-macro-parentheses)
@@ -100,7 +101,7 @@
 #undef CRANBERRY_EVENT_ENUMERATOR
 };
 
-/// The dotted name of @p event, as it stands in log lines. Thread-safe.
+/// The dotted name of @p event as written to log lines. Thread-safe.
 const char *eventName(EventId event);
 
 } // namespace cranberry
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::atomic<LogLevel> leastLevel{LogLevel::Info};
+std::atomic<LogLevel> minLevel{LogLevel::Info};
 
 bool needsQuotes(const QString &value)
 {
@@ -25,7 +25,8 @@
     return false;
 }
 
-/// Keeps a value on its one line, whatever an outside system put into it.
+/// Escapes quotes and backslashes and replaces non-printable characters, so that a value from an
+/// external system cannot break the log line.
 QString quoted(const QString &value)
 {
     QString result = QStringLiteral("\"");
@@ -44,7 +45,7 @@
 
 } // namespace
 
-// One case for each event: its length says nothing of its complexity.
+// One case per event: the length of the function does not reflect its complexity.
 // NOLINTNEXTLINE(readability-function-size)
 const char *eventName(EventId event)
 {
@@ -60,12 +61,12 @@
 
 void setLogLevel(LogLevel level)
 {
-    leastLevel = level;
+    minLevel = level;
 }
 
 void logEvent(LogLevel level, EventId event, std::initializer_list<EventField> fields)
 {
-    if (level < leastLevel)
+    if (level < minLevel)
         return;
     QString line = QStringLiteral("event=%1 name=%2")
                        .arg(static_cast<int>(event))
--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -1,4 +1,3 @@
-// Defines logEvent, which writes one numbered event as one structured log line.
 #pragma once
 
 #include "base/EventId.h"
@@ -9,7 +8,8 @@
 
 namespace cranberry {
 
-/// One key=value pair of a log line. Values with spaces or quotes are quoted.
+/// One key=value pair of a log line. Empty values and values with spaces, quotes, equals signs or
+/// non-printable characters are quoted.
 struct EventField {
     const char *key;
     QString value;
@@ -22,11 +22,12 @@
     Error,
 };
 
-/// Sets the least level that is written; the default is Info. Thread-safe.
+/// Sets the minimum level that is written; the default is Info. Thread-safe.
 void setLogLevel(LogLevel level);
 
-/// Writes "event=NUMBER name=NAME key=value ...": to the LogSink, if there is one, else to stderr
-/// through glog. Thread-safe. Precondition: there is a sink or glog was initialised.
+/// Writes @p event as one structured line, "event=NUMBER name=NAME key=value ...", to the LogSink
+/// if there is one, else to stderr through glog. Thread-safe.
+/// Precondition: a LogSink exists or glog is initialised.
 void logEvent(LogLevel level, EventId event, std::initializer_list<EventField> fields);
 
 } // namespace cranberry
--- a/src/base/Ids.h
+++ b/src/base/Ids.h
@@ -1,4 +1,3 @@
-// Defines the identifiers of the domain.
 #pragma once
 
 #include "base/StrongId.h"
@@ -11,11 +10,11 @@
 using ServiceId = StrongId<struct ServiceTag>;
 using ModelId = StrongId<struct ModelTag>;
 using TargetId = StrongId<struct TargetTag>;
-/// One send of one request to one target; never used twice.
+/// Identifies one attempt to send a request to a target; never reused.
 using AttemptId = StrongId<struct AttemptTag>;
-/// One request of one caller, over all its attempts.
+/// Identifies a request of a caller across all its attempts.
 using RequestId = StrongId<struct RequestTag>;
-/// One change of the configuration, chosen by whoever submits it.
+/// Identifies a change of the configuration; assigned by its submitter.
 using ChangeId = StrongId<struct ChangeTag>;
 
 } // namespace cranberry
--- a/src/base/LatencyHistogram.h
+++ b/src/base/LatencyHistogram.h
@@ -1,4 +1,3 @@
-// Defines LatencyHistogram, a distribution of times with bounded memory.
 #pragma once
 
 #include "base/Units.h"
@@ -9,22 +8,22 @@
 
 namespace cranberry {
 
-/// Times on a logarithmic axis from 0.1 ms to 1000 s.
-/// Thread safety: none; guard it or keep it in one thread.
+/// A histogram of latencies with bounded memory, on a logarithmic axis from 0.1 ms to 1000 s.
+/// Not thread-safe: guard it with a lock or use it in one thread only.
 class LatencyHistogram
 {
 public:
     LatencyHistogram();
 
-    /// Adds one time in milliseconds.
+    /// Adds one latency in milliseconds.
     void add(double milliseconds);
 
     qint64 count() const { return m_count; }
-    /// The time below which the share @p quantile of all times lies, in milliseconds; 0 if
-    /// there are none. Precondition: @p quantile in [0, 1].
+    /// The given quantile of all latencies, in milliseconds; 0 if there are none. The result is
+    /// the upper edge of a bin. Precondition: @p quantile in [0, 1].
     double quantile(double quantile) const;
 
-    /// The distribution in Prometheus' text format under @p name, in seconds.
+    /// The histogram as metric @p name in the Prometheus text format, in seconds.
     QByteArray prometheusText(const QByteArray &name) const;
 
 private:
--- a/src/base/LogSink.cpp
+++ b/src/base/LogSink.cpp
@@ -11,28 +11,29 @@
 
 namespace {
 
-/// Some seconds of lines of a busy daemon.
-constexpr qsizetype BufferBytes = 256 * 1024;
-/// Lines are written together, as each write is a system call.
-constexpr int FlushMilliseconds = 50;
-/// A pipe that poll() calls writable takes this much without blocking.
-constexpr qsizetype AtOnce = 4096;
+/// Holds several seconds of log lines of a busy daemon.
+constexpr qsizetype MaxBufferedBytes = 256 * 1024;
+/// Lines are written in batches, because each write is a system call.
+constexpr int FlushIntervalMs = 50;
+/// Number of bytes that a pipe accepts without blocking when poll() reports it as writable.
+constexpr qsizetype MaxWriteBytes = 4096;
 
-std::atomic<LogSink *> inUse{nullptr};
+std::atomic<LogSink *> currentSink{nullptr};
 
-bool takesMore()
+bool isOutputWritable()
 {
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
     return ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
 }
 
-/// Writes as much of @p bytes as standard output takes without blocking; returns how much.
+/// Writes as much of @p bytes as standard output accepts without blocking; returns the number of
+/// bytes written.
 qsizetype writeAvailable(const char *bytes, qsizetype size)
 {
     qsizetype written = 0;
-    while (written < size && takesMore()) {
-        const qsizetype part = std::min(AtOnce, size - written);
-        const ssize_t count = ::write(STDOUT_FILENO, bytes + written, size_t(part));
+    while (written < size && isOutputWritable()) {
+        const qsizetype chunkSize = std::min(MaxWriteBytes, size - written);
+        const ssize_t count = ::write(STDOUT_FILENO, bytes + written, size_t(chunkSize));
         if (count <= 0)
             break;
         written += count;
@@ -53,26 +54,26 @@
     , m_timer(std::make_unique<QTimer>())
 {
     QObject::connect(m_timer.get(), &QTimer::timeout, m_timer.get(), [this] { flush(); });
-    m_timer->start(FlushMilliseconds);
-    inUse = this;
+    m_timer->start(FlushIntervalMs);
+    currentSink = this;
 }
 
 LogSink::~LogSink()
 {
-    inUse = nullptr;
+    currentSink = nullptr;
     flush();
 }
 
 LogSink *LogSink::current()
 {
-    return inUse;
+    return currentSink;
 }
 
 void LogSink::append(const QByteArray &line, bool isImportant)
 {
     const std::lock_guard<std::mutex> lock(m_buffer->mutex);
-    const qsizetype bound = isImportant ? BufferBytes : BufferBytes / 2;
-    if (m_buffer->bytes.size() + line.size() > bound) {
+    const qsizetype limit = isImportant ? MaxBufferedBytes : MaxBufferedBytes / 2;
+    if (m_buffer->bytes.size() + line.size() > limit) {
         ++m_buffer->dropped;
         return;
     }
@@ -94,7 +95,7 @@
 
 void LogSink::writeAfterCrash()
 {
-    // Stays locked: what is written here must not be written again.
+    // The mutex stays locked, so that the lines written here are not written again.
     if (!m_buffer->mutex.try_lock())
         return;
     const QByteArray &bytes = m_buffer->bytes;
--- a/src/base/LogSink.h
+++ b/src/base/LogSink.h
@@ -1,4 +1,3 @@
-// Defines LogSink, the bounded way of log lines to standard output.
 #pragma once
 
 #include <QByteArray>
@@ -9,10 +8,10 @@
 
 namespace cranberry {
 
-/// While it exists, logEvent() hands its lines to it. They are kept in a bounded buffer and
-/// written when standard output takes them, so that a reader that is slow or gone never blocks a
-/// request. Lines over the bound are dropped, the less important ones first, and counted in a
-/// line of their own.
+/// Non-blocking writer of log lines to standard output. While a sink exists, logEvent() passes its
+/// lines to it. Lines are kept in a bounded buffer and written when standard output is writable, so
+/// that a slow or absent reader never blocks a request. Lines above the limit are dropped, less
+/// important ones first; a separate log line reports their number.
 /// Thread safety: append() from any thread; construction and destruction in the main thread,
 /// which runs an event loop.
 class LogSink
@@ -23,15 +22,16 @@
     LogSink(const LogSink &) = delete;
     LogSink &operator=(const LogSink &) = delete;
 
-    /// Takes one line without its end. Important lines may fill the whole buffer, others half.
+    /// Adds one line without its line end. Important lines may fill the whole buffer, other lines
+    /// only half of it.
     void append(const QByteArray &line, bool isImportant);
 
-    /// Writes what is buffered and leaves the buffer as it is; nothing if the crash interrupted an
-    /// append(). A second call does nothing. Async-signal-safe; only for a process that is about to
-    /// end.
+    /// Writes the buffered lines without a change to the buffer. Writes nothing if the crash
+    /// interrupted an operation that holds the lock, such as append(), or if called again.
+    /// Async-signal-safe; only for a process that is about to terminate.
     void writeAfterCrash();
 
-    /// The sink in use; null if there is none.
+    /// The current sink; null if there is none. Thread-safe.
     static LogSink *current();
 
 private:
--- a/src/base/QtTimerService.cpp
+++ b/src/base/QtTimerService.cpp
@@ -22,8 +22,8 @@
 
     ~QtTimerSubscription() override
     {
-        // The callback that is running may own this subscription: the timer, which holds
-        // the callback, has to outlive it.
+        // A running callback may own and destroy this subscription, so the timer, which holds
+        // the callback, must outlive the callback.
         m_timer->stop();
         m_timer->disconnect();
         m_timer->deleteLater();
--- a/src/base/QtTimerService.h
+++ b/src/base/QtTimerService.h
@@ -1,12 +1,11 @@
-// Defines QtTimerService, the timer service of a Qt event loop.
 #pragma once
 
 #include "base/TimerService.h"
 
 namespace cranberry {
 
-/// Timer service on the event loop of the thread that makes it.
-/// Thread safety: as TimerService states.
+/// Timer service on the Qt event loop of the thread that creates it.
+/// Thread safety: see TimerService.
 class QtTimerService final : public TimerService
 {
 public:
--- a/src/base/Result.h
+++ b/src/base/Result.h
@@ -1,4 +1,3 @@
-// Defines Result, a value or the Error that kept it from coming about.
 #pragma once
 
 #include "base/Error.h"
@@ -9,8 +8,8 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-/// A value or an Error. Reading the side that is absent ends the process: it is a
-/// programming fault, never a condition of the outside.
+/// A value or the Error that prevented it. Reading the absent alternative terminates the process,
+/// because it is a programming error and not caused by external conditions.
 template <typename T>
 using Result = outcome::basic_result<T, Error, outcome::policy::terminate>;
 
--- a/src/base/StableHash.h
+++ b/src/base/StableHash.h
@@ -1,12 +1,11 @@
-// Defines stableHash, a hash that is the same in every process.
 #pragma once
 
 #include <QString>
 
 namespace cranberry {
 
-/// FNV-1a over the UTF-16 code units of @p text. qHash() with a seed mixes in a number drawn by
-/// each process, so that daemons would not agree. Thread-safe.
+/// FNV-1a hash over the UTF-16 code units of @p text; the same in every process. qHash() uses a
+/// random seed per process, so that daemons would compute different values. Thread-safe.
 inline quint64 stableHash(const QString &text)
 {
     constexpr quint64 Offset = 14695981039346656037ULL;
--- a/src/base/StrongId.h
+++ b/src/base/StrongId.h
@@ -1,4 +1,3 @@
-// Defines StrongId, a string identifier that cannot be mixed up with one of another kind.
 #pragma once
 
 #include <QHashFunctions>
@@ -6,7 +5,8 @@
 
 namespace cranberry {
 
-/// An identifier tagged with what it identifies. Equality and order are those of the text.
+/// A string identifier typed by @p Tag, so that identifiers of different kinds cannot be mixed up.
+/// Equality and order are those of the text.
 /// Thread safety: a value type; distinct objects may be used from distinct threads.
 template <typename Tag>
 class StrongId
@@ -18,7 +18,7 @@
     {
     }
 
-    /// The identifier as it is written in settings, documents and logs.
+    /// The identifier as used in settings, documents and logs.
     const QString &text() const { return m_text; }
     bool isEmpty() const { return m_text.isEmpty(); }
 
--- a/src/base/StrongNumber.h
+++ b/src/base/StrongNumber.h
@@ -1,11 +1,10 @@
-// Defines StrongNumber, a count that cannot be mixed up with one of another unit.
 #pragma once
 
 #include <QtGlobal>
 
 namespace cranberry {
 
-/// A whole number tagged with its unit.
+/// An integer typed by its unit @p Tag, so that different units cannot be mixed up.
 /// Thread safety: a value type; distinct objects may be used from distinct threads.
 template <typename Tag>
 class StrongNumber
--- a/src/base/TimerService.h
+++ b/src/base/TimerService.h
@@ -1,4 +1,3 @@
-// Defines TimerService, the one source of time that parts subscribe to.
 #pragma once
 
 #include "base/Units.h"
@@ -10,10 +9,10 @@
 
 class TimerSubscription;
 
-/// Calls back at times. Parts take it by reference, so that a test can hand them one whose
-/// time it moves itself.
-/// Thread safety: every method only from the thread that the service was made in; callbacks
-/// run in that thread and never inside a call to every() or after().
+/// Clock and timers for all components. Components take it by reference, so that a test can pass
+/// an implementation whose time it advances itself.
+/// Thread safety: every method only from the thread that created the service; callbacks run in
+/// that thread and never inside a call to every() or after().
 class TimerService
 {
 public:
@@ -21,10 +20,10 @@
 
     virtual ~TimerService() = default;
 
-    /// Time since an arbitrary start; it never steps.
+    /// Current monotonic time, relative to an arbitrary start.
     virtual MonotonicTime now() const = 0;
 
-    /// Calls @p callback each @p interval until the subscription is destroyed.
+    /// Calls @p callback every @p interval until the subscription is destroyed.
     /// Precondition: @p interval is positive.
     [[nodiscard]] virtual std::unique_ptr<TimerSubscription> every(Milliseconds interval,
                                                                    Callback callback) = 0;
--- a/src/base/TimerSubscription.h
+++ b/src/base/TimerSubscription.h
@@ -1,9 +1,9 @@
-// Defines TimerSubscription, whose life is that of a subscription to the timer service.
 #pragma once
 
 namespace cranberry {
 
-/// Destroying it ends the subscription; a callback may destroy its own.
+/// A subscription to a TimerService. Destroying the object ends the subscription; a callback may
+/// destroy its own subscription.
 /// Thread safety: only from the thread of the timer service.
 class TimerSubscription
 {
--- a/src/base/Units.h
+++ b/src/base/Units.h
@@ -1,4 +1,3 @@
-// Defines the units of the domain: tokens, bytes, versions and times.
 #pragma once
 
 #include "base/StrongNumber.h"
@@ -9,15 +8,16 @@
 
 using Tokens = StrongNumber<struct TokensTag>;
 using Bytes = StrongNumber<struct BytesTag>;
-/// Version of the configuration document; 0 is "none yet".
+/// Version of the configuration document; 0 if there is none yet.
 using ConfigurationVersion = StrongNumber<struct ConfigurationVersionTag>;
-/// Number that only grows with each holder of a lease; targets may refuse a smaller one.
+/// Fencing token: increases with each holder of a lease; targets may reject a smaller one.
 using FencingNumber = StrongNumber<struct FencingNumberTag>;
-/// Counts the starts of one VM or target; a greater one replaces what was known of a smaller.
+/// Number of starts of a VM or target; state with a greater number replaces state with a smaller
+/// one.
 using Incarnation = StrongNumber<struct IncarnationTag>;
 
 using Milliseconds = std::chrono::milliseconds;
-/// Time that never steps; for durations and timeouts, meaningless on another VM.
+/// Monotonic time for durations and timeouts; not comparable between VMs.
 using MonotonicTime = std::chrono::steady_clock::time_point;
 
 } // namespace cranberry
--- a/src/base/WorkerPool.h
+++ b/src/base/WorkerPool.h
@@ -1,4 +1,3 @@
-// Defines WorkerPool, which keeps long computations off the event loop.
 #pragma once
 
 #include <QObject>
@@ -11,18 +10,21 @@
 
 namespace cranberry {
 
-/// Runs work on pool threads and hands the outcome back to the event loop that made the pool.
+/// Runs long computations on pool threads, so that they do not block the event loop, and returns
+/// their results to the event loop of the thread that created the pool.
 class WorkerPool : public QObject
 {
 public:
     /// Precondition: @p threads is at least 1; an event loop runs in the calling thread.
     explicit WorkerPool(int threads, QObject *parent = nullptr);
-    /// Waits for work that has started; its outcome is dropped.
+    /// Waits for work that has started and discards its result; work that has not started is
+    /// discarded.
     ~WorkerPool() override;
 
-    /// Runs @p work on a pool thread, then @p done in the thread of the pool object; @p done
-    /// is dropped if @p receiver has gone by then. Only from the thread of the pool object.
-    /// Precondition: @p work touches only what it owns or tables that lock themselves.
+    /// Runs @p work on a pool thread, then @p done with its result in the thread of the pool
+    /// object.
+    /// @p done is not called if @p receiver was destroyed before. Only from the thread of the pool
+    /// object. Precondition: @p work accesses only data that it owns or thread-safe tables.
     template <typename Work, typename Done>
     void run(QObject *receiver, Work work, Done done);
 
