--- a/src/daemon/DaemonSettings.cpp
+++ b/src/daemon/DaemonSettings.cpp
@@ -53,10 +53,10 @@
         Bytes(reader.number(QStringLiteral("header_bytes"), 1024, MaxBytes, http.headers.value()));
     http.connections =
         int(reader.number(QStringLiteral("connections"), 1, MaxConnections, http.connections));
-    http.unreadAnswer = Bytes(reader.number(QStringLiteral("unread_answer_bytes"), 1024, MaxBytes,
-                                            http.unreadAnswer.value()));
-    http.requestArrival =
-        readDuration(reader, QStringLiteral("request_arrival_ms"), http.requestArrival);
+    http.maxUnreadResponse = Bytes(reader.number(QStringLiteral("unread_answer_bytes"), 1024,
+                                                 MaxBytes, http.maxUnreadResponse.value()));
+    http.requestTimeout =
+        readDuration(reader, QStringLiteral("request_arrival_ms"), http.requestTimeout);
     settings.stall.minSilence =
         readDuration(reader, QStringLiteral("stall_floor_ms"), settings.stall.minSilence);
     settings.stall.maxSilence =
--- a/src/relay/RelayAttempt.cpp
+++ b/src/relay/RelayAttempt.cpp
@@ -27,7 +27,7 @@
     options.connectTimeout = ConnectTimeout;
     options.reuseConnection = maxIdle.count() > 0;
     options.keepConnection = true;
-    options.mostIdle = maxIdle;
+    options.maxIdleTime = maxIdle;
     options.echoHeader = context.targetProtocol.echoHeader;
     options.echoValue = request.id.text().toUtf8();
     return options;
--- a/src/relay/RoomReservation.cpp
+++ b/src/relay/RoomReservation.cpp
@@ -24,7 +24,7 @@
     options.timeout = timeout;
     options.reuseConnection = overKeptConnection;
     options.keepConnection = true;
-    options.mostIdle = MaxIdle;
+    options.maxIdleTime = MaxIdle;
     return options;
 }
 
