--- a/test/failure/PlatformAnswerLost.cpp
+++ b/test/failure/PlatformAnswerLost.cpp
@@ -1,7 +1,7 @@
-// A clinic receives one alert twice: the daemon writes to the platform's service, the write
-// takes effect and its answer is lost. A client that reports such a write as "not done" makes
-// its caller decide as if nothing were written. So a broken or timed-out write must come back
-// as Unknown, and a re-read must show what became of it.
+// Guards against a write that is executed twice: the write reaches the platform's store and takes
+// effect, but its answer is lost. A client that reports such a write as NotDone makes its caller
+// decide as if nothing were written. A broken or timed-out write must come back as Unknown, and a
+// further read must return its result.
 #define BOOST_TEST_MODULE PlatformAnswerLost
 #include <boost/test/unit_test.hpp>
 
@@ -63,8 +63,8 @@
 {
     quint16 closedPort = 0;
     {
-        const test::StandinProcess gone(QStringLiteral("platform"));
-        closedPort = gone.endpoint().port;
+        const test::StandinProcess stopped(QStringLiteral("platform"));
+        closedPort = stopped.endpoint().port;
     }
     HttpKeyValueStore unreachable(timers, {QStringLiteral("127.0.0.1"), closedPort});
     test::StoreCalls unreachableCalls(unreachable);
--- a/test/failure/PlatformBackups.cpp
+++ b/test/failure/PlatformBackups.cpp
@@ -1,4 +1,4 @@
-// Generations that go on from the copy that another runner keeps of them.
+// Tests that generations resume from the backup that another runner keeps of them.
 #define BOOST_TEST_MODULE PlatformBackups
 #include <boost/test/unit_test.hpp>
 
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr int Events = 200;
-/// An answer that is worth a copy.
-constexpr int MostOutput = 2000;
-/// Bytes of a daemon's log shown if it has ended: its stack is there.
-constexpr qsizetype LogTail = 4000;
-/// The answer of a runner that holds what it copied.
+/// Output tokens; an answer of this length is long enough to be backed up.
+constexpr int MaxOutputTokens = 2000;
+/// Tail of a daemon's log that is shown if the daemon has ended; it contains the stack trace.
+constexpr qsizetype LogTailBytes = 4000;
+/// The answer of a runner to a copy order when it holds the copied state.
 const QByteArray CopyHeld = R"({"handle":"copy","created":1})";
 
 struct Fixture {
@@ -27,14 +27,14 @@
         first.setGeneration(Events, Milliseconds(10));
         second.setGeneration(Events, Milliseconds(10));
         call = site.send(daemon, "POST", "/model/a", "r1",
-                         test::PlatformSite::generation(100, MostOutput));
-        // Long enough for the first part of the copy to have been sent.
+                         test::PlatformSite::generation(100, MaxOutputTokens));
+        // By this event the first part of the backup has been sent.
         BOOST_REQUIRE(test::waitFor([&] { return call->response.body.contains("id: 80\n"); }));
-        isAtFirst = first.generating() == 1;
+        isOnFirst = first.generating() == 1;
     }
 
-    Runner &source() { return isAtFirst ? first : second; }
-    Runner &holder() { return isAtFirst ? second : first; }
+    Runner &source() { return isOnFirst ? first : second; }
+    Runner &holder() { return isOnFirst ? second : first; }
     bool isWhole() const { return call->response.body == test::PlatformSite::events(Events); }
 
     test::PlatformSite site;
@@ -42,13 +42,14 @@
     Runner &second = site.addRunner("model-2", "model");
     int daemon = -1;
     std::shared_ptr<test::ClientCall> call;
-    bool isAtFirst = true;
+    bool isOnFirst = true;
 };
 
 } // namespace
 
-// A runner crashes without a word while it generates. The client's stream goes on from the copy at
-// the other runner; every event comes once and in order.
+// Guards against the loss of a stream whose runner crashes without notice while it generates. The
+// client's stream resumes from the backup on the other runner, and every event arrives once and in
+// order.
 BOOST_FIXTURE_TEST_CASE(CrashedGenerationGoesOn, Fixture)
 {
     BOOST_TEST(
@@ -63,8 +64,8 @@
     BOOST_TEST((headers.value("Cranberryquay-Expect-Instance") == holder().id()));
 }
 
-// A runner goes dark: it closes nothing and sends nothing. The client would give the stream up; it
-// goes on from the copy.
+// Guards against a stalled stream: a runner stops sending without closing its connections. The
+// client would abandon the stream; it resumes from the backup instead.
 BOOST_FIXTURE_TEST_CASE(SilentGenerationGoesOn, Fixture)
 {
     source().startAgain(1700000000000);
@@ -73,8 +74,8 @@
     BOOST_TEST(test::waitFor([&] { return site.log(daemon).contains("reason=silent"); }));
 }
 
-// A runner leaves. The copy is there already, so that nothing has to cross the runners' links
-// before the stream can go on; the first run ends.
+// A draining runner hands its generation over. The backup already exists, so nothing has to be
+// transferred between the runners before the stream resumes, and the first run ends.
 BOOST_FIXTURE_TEST_CASE(LeavingRunnersGenerationIsTakenOver, Fixture)
 {
     site.announce(source(), "model", "draining");
@@ -84,8 +85,9 @@
     BOOST_TEST(isWhole());
 }
 
-// The runner that should have the copy has none and says so. The first run was not given up before
-// that answer: it goes on, and its memory is moved as without a copy.
+// Guards against giving up the first run too early: the runner that should hold the backup answers
+// that it has none. The first run continues until that answer, and its state is moved as without a
+// backup.
 BOOST_FIXTURE_TEST_CASE(MissingCopyCostsNothing, Fixture)
 {
     int refusals = 0;
@@ -103,8 +105,8 @@
     BOOST_TEST(isWhole());
 }
 
-// A runner crashes, and the one with the copy has crashed before. The client is told: the stream
-// does not look whole.
+// Guards against a truncated stream that looks complete: a runner crashes after the holder of its
+// backup has crashed. The client must see a broken stream.
 BOOST_FIXTURE_TEST_CASE(StreamWithoutAnyCopyIsBrokenOff, Fixture)
 {
     site.store().remove(QStringLiteral("servers/") + QString::fromLatin1(holder().id()));
@@ -115,18 +117,19 @@
     BOOST_TEST(!isWhole());
 }
 
-// A generation is copied away from a runner that leaves, as the one with its backup may not be used
-// then; its connection breaks, and the backup goes on after all. The copy went on beside that and
-// took the generation to a third runner; the daemon crashed when the first answer came.
+// Guards against two concurrent takeovers. A generation is copied away from a draining runner
+// because the runner with its backup is withheld at that time; then its connection breaks, and the
+// backup is used after all. The copy continued in parallel and resumed the generation on a third
+// runner; the daemon crashed when the first answer arrived.
 BOOST_FIXTURE_TEST_CASE(TakeoverEndsACopyUnderWay, Fixture)
 {
-    // Not over before the answers below.
+    // Long enough that the generation is still running when the answers below are sent.
     constexpr int LongEvents = 3000;
     Runner &third = site.addRunner("model-3", "model");
     for (Runner *runner : {&first, &second, &third})
         runner->setGeneration(LongEvents, Milliseconds(1));
-    const QString held = QStringLiteral("servers/") + QString::fromLatin1(holder().id());
-    site.store().put(held, "unreadable");
+    const QString holderKey = QStringLiteral("servers/") + QString::fromLatin1(holder().id());
+    site.store().put(holderKey, "unreadable");
     BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains("name=target.withheld"); }));
     Runner::Reply firstMove;
     bool isMoveCancelled = false;
@@ -160,12 +163,13 @@
         test::waitFor([&] { return site.log(daemon).contains("target.joined target=marker"); }));
     source().crash();
     BOOST_REQUIRE(test::waitFor([&] { return takeover != nullptr; }));
-    // No other runner can keep a further backup.
+    // Drained, so that no other runner can keep a further backup.
     site.announce(holder(), "model", "draining");
     BOOST_REQUIRE(test::waitFor(
         [&] { return site.log(daemon).contains("name=target.leaving target=" + holder().id()); }));
     firstMove->send({200, {}, CopyHeld});
-    // Two further orders stop the generation and take it to the third runner.
+    // Without the cancellation, two further move orders stop the generation and resume it on the
+    // third runner.
     BOOST_REQUIRE(test::waitFor([&] { return isMoveCancelled || moves == 3; }));
     BOOST_TEST(isMoveCancelled);
     takeover->startStream(200, holder().answerHeaders(takeoverRequest));
@@ -174,6 +178,6 @@
     takeover->end();
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->response.body == test::PlatformSite::events(LongEvents)));
-    BOOST_TEST_INFO(site.log(daemon).right(LogTail).constData());
+    BOOST_TEST_INFO(site.log(daemon).right(LogTailBytes).constData());
     BOOST_TEST(!site.hasEnded(daemon));
 }
--- a/test/failure/PlatformCrashes.cpp
+++ b/test/failure/PlatformCrashes.cpp
@@ -1,4 +1,4 @@
-// Requests that crash the runners that run them.
+// Tests the quarantine of requests that crash the runners that execute them.
 #define BOOST_TEST_MODULE PlatformCrashes
 #include <boost/test/unit_test.hpp>
 
@@ -25,16 +25,17 @@
             BOOST_REQUIRE(logs(daemon, "name=member.joined"));
     }
 
-    /// A runner that breaks off the harmful request and, if @c crashes, is gone by that.
+    /// Adds a runner that aborts the harmful request and, if @c isCrashSimulated, removes its entry
+    /// as a crash would.
     void addRunner(const QByteArray &id)
     {
         Runner &runner = site.addRunner(id, "plain");
         runner.setOverride([this, &runner](const HttpRequest &request, const Runner::Reply &reply) {
             if (request.body != HarmfulBody)
                 return false;
-            ++harmed;
+            ++harmfulRuns;
             reply->abort();
-            if (crashes)
+            if (isCrashSimulated)
                 site.store().remove(QStringLiteral("servers/") + QString::fromLatin1(runner.id()));
             return true;
         });
@@ -50,7 +51,7 @@
         return site.callWithBody(daemon, "/unsafe/a", id, HarmfulBody)->response.status;
     }
 
-    bool isHeldBackAt(int daemon)
+    bool isQuarantinedAt(int daemon)
     {
         return test::waitFor(
             [&] { return sendHarmful(daemon, "probe-" + QByteArray::number(++probes)) == 503; });
@@ -59,16 +60,16 @@
     test::PlatformSite site;
     int first = -1;
     int second = -1;
-    bool crashes = true;
-    int harmed = 0;
+    bool isCrashSimulated = true;
+    int harmfulRuns = 0;
     int probes = 0;
 };
 
 } // namespace
 
-// A request crashed the runner that ran it, its client sent it again, and one runner after the
-// other went down. After two crashes, at whichever daemons, it reaches no runner any more, and the
-// rest of the runners goes on serving others.
+// Guards against one request that crashes runner after runner because its client retries it. After
+// two crashes, reported by any daemons, it is sent to no further runner, and the remaining runners
+// go on serving other requests.
 BOOST_FIXTURE_TEST_CASE(RequestThatCrashesRunnersIsHeldBack, Fixture)
 {
     BOOST_TEST(sendHarmful(first, "r1") == 502);
@@ -76,27 +77,28 @@
     BOOST_REQUIRE(logs(second, "name=target.gone"));
     BOOST_TEST(sendHarmful(second, "r2") == 502);
     BOOST_REQUIRE(logs(second, "name=quarantine.added"));
-    BOOST_TEST(isHeldBackAt(first));
-    BOOST_TEST(isHeldBackAt(second));
-    BOOST_TEST(harmed <= 3);
+    BOOST_TEST(isQuarantinedAt(first));
+    BOOST_TEST(isQuarantinedAt(second));
+    BOOST_TEST(harmfulRuns <= 3);
     BOOST_TEST(site.callWithBody(first, "/unsafe/a", "r3", "harmless")->response.status == 200);
 }
 
-// A faulty runner cuts the answers to one request again and again and stays. That is no crash: the
-// request would be refused though other runners serve it.
+// Guards against a false quarantine: a faulty runner aborts the answers to one request repeatedly
+// but stays up. That is no crash; counting it as one would refuse a request that other runners can
+// serve.
 BOOST_FIXTURE_TEST_CASE(CutAnswersAreNoCrashes, Fixture)
 {
-    crashes = false;
+    isCrashSimulated = false;
     for (int i = 0; i < 6; ++i)
         BOOST_TEST(sendHarmful(first, "r" + QByteArray::number(i)) == 502);
-    BOOST_TEST(harmed == 6);
+    BOOST_TEST(harmfulRuns == 6);
 }
 
-// A runner leaves without a word while it runs a request, which it then answers. The request is
-// not to blame, also when that happens twice.
+// Guards against a false quarantine: a runner removes its entry without draining while it executes
+// a request, and then answers it. The request is not suspected, also when that happens repeatedly.
 BOOST_FIXTURE_TEST_CASE(RunnersThatLeaveSilentlyBlameNoRequest, Fixture)
 {
-    crashes = false;
+    isCrashSimulated = false;
     for (int i = 0; i < 3; ++i) {
         const QByteArray id = "leaving-" + QByteArray::number(i);
         Runner &runner = site.addRunner(id, "plain");
