--- a/test/failure/PlatformEvacuations.cpp
+++ b/test/failure/PlatformEvacuations.cpp
@@ -1,4 +1,4 @@
-// Data centres that the operator evacuates.
+// Tests requests and streams while the operator evacuates a data centre.
 #define BOOST_TEST_MODULE PlatformEvacuations
 #include <boost/test/unit_test.hpp>
 
@@ -24,7 +24,7 @@
         return site.call(daemon, "GET", "/safe/a", nextId())->response.status;
     }
 
-    bool generates(int daemon)
+    bool isGenerationWhole(int daemon)
     {
         const auto call =
             site.send(daemon, "POST", "/model/a", nextId(), test::PlatformSite::generation());
@@ -34,14 +34,14 @@
 
     QByteArray nextId() { return "r" + QByteArray::number(++requests); }
 
-    bool knows(int daemon, bool isEvacuated)
+    bool reportsEvacuation(int daemon, bool isEvacuated)
     {
         const QByteArray gauge = isEvacuated ? "cranberry_relay_evacuated_data_centres 1"
                                              : "cranberry_relay_evacuated_data_centres 0";
         return test::waitFor([&] { return site.metrics(daemon).contains(gauge); });
     }
 
-    qsizetype ranInTheHall() const { return plainHall.ran().size() + modelHall.ran().size(); }
+    qsizetype runsInHall() const { return plainHall.ran().size() + modelHall.ran().size(); }
 
     test::PlatformSite site;
     Runner &plainHall = site.addRunner("plain-1", "plain", Hall);
@@ -53,30 +53,31 @@
 
 } // namespace
 
-// The operator emptied a data centre for repairs, and daemons went on sending requests there, as
-// they never looked at that key. Nothing goes there now until it is taken back.
+// Guards against requests to an evacuated data centre, which daemons sent because they did not read
+// the key of the evacuation. Nothing is sent there until the evacuation is withdrawn.
 BOOST_FIXTURE_TEST_CASE(EvacuatedDataCentreGetsNothing, Fixture)
 {
     const int daemon = site.startDaemon();
     site.evacuate(Hall, true);
-    BOOST_REQUIRE(knows(daemon, true));
-    const qsizetype before = ranInTheHall();
+    BOOST_REQUIRE(reportsEvacuation(daemon, true));
+    const qsizetype runsBefore = runsInHall();
     for (int i = 0; i < 5; ++i) {
         BOOST_TEST(plainStatus(daemon) == 200);
-        BOOST_TEST(generates(daemon));
+        BOOST_TEST(isGenerationWhole(daemon));
     }
-    BOOST_TEST(ranInTheHall() == before);
+    BOOST_TEST(runsInHall() == runsBefore);
     site.evacuate(Hall, false);
-    BOOST_REQUIRE(knows(daemon, false));
+    BOOST_REQUIRE(reportsEvacuation(daemon, false));
     BOOST_TEST(test::waitFor([&] {
-        generates(daemon);
+        isGenerationWhole(daemon);
         plainStatus(daemon);
-        return ranInTheHall() > before;
+        return runsInHall() > runsBefore;
     }));
 }
 
-// All targets of a service stood in the evacuated data centre, and callers waited for room until
-// their time was over. They are refused at once and told when to come back; nothing has run.
+// Guards against callers that wait for capacity until their deadline when all targets of a service
+// are in evacuated data centres. They are refused at once with a Retry-After header, and nothing
+// has run.
 BOOST_FIXTURE_TEST_CASE(NothingLeftIsRefusedAtOnce, Fixture)
 {
     const int daemon = site.startDaemon();
@@ -92,20 +93,21 @@
     BOOST_TEST(modelYard.ran().isEmpty());
 }
 
-// The store turned one daemon away while a data centre was evacuated, and later taken back. It
-// learns both from a daemon that the store serves.
+// A daemon that the store refuses learns of the start and the end of an evacuation from a daemon
+// that the store serves.
 BOOST_FIXTURE_TEST_CASE(OneTurnedAwayLearnsFromAnother, Fixture)
 {
     site.startDaemon();
-    const int turnedAway = site.startDaemon(std::chrono::seconds(30), Door::Second);
+    const int refusedDaemon = site.startDaemon(std::chrono::seconds(30), Door::Second);
     site.store().refuse(Door::Second, true);
     site.evacuate(Hall, true);
-    BOOST_TEST(knows(turnedAway, true));
+    BOOST_TEST(reportsEvacuation(refusedDaemon, true));
     site.evacuate(Hall, false);
-    BOOST_TEST(knows(turnedAway, false));
+    BOOST_TEST(reportsEvacuation(refusedDaemon, false));
 }
 
-// A daemon that starts in the middle of an evacuation, killed before it, sends nothing there.
+// A daemon that was killed before an evacuation and restarts during it sends nothing to the
+// evacuated data centre.
 BOOST_FIXTURE_TEST_CASE(RestartedDaemonKnowsTheEvacuation, Fixture)
 {
     const int daemon = site.startDaemon();
@@ -114,31 +116,32 @@
     site.evacuate(Hall, true);
     site.restart(daemon);
     BOOST_REQUIRE(test::waitFor([&] { return site.isReady(daemon); }));
-    const qsizetype before = ranInTheHall();
+    const qsizetype runsBefore = runsInHall();
     for (int i = 0; i < 5; ++i)
         BOOST_TEST(plainStatus(daemon) == 200);
-    BOOST_TEST(ranInTheHall() == before);
+    BOOST_TEST(runsInHall() == runsBefore);
 }
 
-// An evacuation was taken back while the store kept no history of it: the read that follows lacks
-// the key, and the daemons that others feed must hear of a change that has no key any more.
+// Guards against an evacuation that never ends on daemons fed by others: it is withdrawn while the
+// store keeps no history, so that the read that follows lacks the key. The watching daemons must
+// forward the deletion of the key.
 BOOST_FIXTURE_TEST_CASE(EndReachesDaemonsThatAreFed, Fixture)
 {
-    constexpr int Daemons = 7;
-    for (int i = 0; i < Daemons; ++i)
+    constexpr int DaemonCount = 7;
+    for (int i = 0; i < DaemonCount; ++i)
         site.startDaemon();
     site.evacuate(Hall, true);
-    for (int i = 0; i < Daemons; ++i)
-        BOOST_TEST(knows(i, true));
+    for (int i = 0; i < DaemonCount; ++i)
+        BOOST_TEST(reportsEvacuation(i, true));
     site.evacuate(Hall, false);
     site.store().compact();
     site.store().cutWatches(false);
-    for (int i = 0; i < Daemons; ++i)
-        BOOST_TEST(knows(i, false));
+    for (int i = 0; i < DaemonCount; ++i)
+        BOOST_TEST(reportsEvacuation(i, false));
 }
 
-// A stream ran in a data centre when it was evacuated. It is not cut off: its caller gets every
-// event once and in order.
+// Guards against cutting a stream that runs in a data centre when it is evacuated: the caller gets
+// every event once and in order.
 BOOST_FIXTURE_TEST_CASE(RunningStreamIsNotCutOff, Fixture)
 {
     constexpr int Events = 150;
@@ -148,8 +151,8 @@
     const auto call =
         site.send(daemon, "POST", "/model/a", nextId(), test::PlatformSite::generation());
     BOOST_REQUIRE(test::waitFor([&] { return call->response.body.size() > 100; }));
-    const bool isInTheHall = modelHall.generating() == 1;
-    site.evacuate(isInTheHall ? Hall : Yard, true);
+    const bool isInHall = modelHall.generating() == 1;
+    site.evacuate(isInHall ? Hall : Yard, true);
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->response.body == test::PlatformSite::events(Events)));
 }
--- a/test/failure/PlatformExplained.cpp
+++ b/test/failure/PlatformExplained.cpp
@@ -1,4 +1,4 @@
-// From the id of a failed request to its cause, by the logs alone.
+// Tests that "explain" finds the cause of a failed request from its id and the logs alone.
 #define BOOST_TEST_MODULE PlatformExplained
 #include <boost/test/unit_test.hpp>
 
@@ -19,18 +19,20 @@
     {
         site.configure(1);
         daemon = site.startDaemon();
-        other = site.startDaemon();
+        otherDaemon = site.startDaemon();
     }
 
-    /// What the tool says of @p request once a log has the line @p last of it.
-    QByteArray explained(const QByteArray &request, const QByteArray &last)
+    /// Returns what "explain" prints for @p request once the log has the line @p last of that
+    /// request.
+    QByteArray explain(const QByteArray &request, const QByteArray &last)
     {
         const QByteArray line = "name=" + last + " request=" + request;
         BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains(line); }));
-        const QString one = test::temporaryFile(QStringLiteral("one.log"), site.log(daemon));
-        const QString two = test::temporaryFile(QStringLiteral("two.log"), site.log(other));
-        const test::CtlRun run =
-            test::runCtl({QStringLiteral("explain"), QString::fromLatin1(request), two, one});
+        const QString firstLog = test::temporaryFile(QStringLiteral("one.log"), site.log(daemon));
+        const QString secondLog =
+            test::temporaryFile(QStringLiteral("two.log"), site.log(otherDaemon));
+        const test::CtlRun run = test::runCtl(
+            {QStringLiteral("explain"), QString::fromLatin1(request), secondLog, firstLog});
         BOOST_TEST(run.exitCode == 0);
         return run.output;
     }
@@ -39,12 +41,12 @@
     Runner &model = site.addRunner("model-1", "model");
     Runner &plain = site.addRunner("plain-1", "plain");
     int daemon = -1;
-    int other = -1;
+    int otherDaemon = -1;
 };
 
 } // namespace
 
-// A client complains of a stream that broke off midway: its runner had crashed.
+// A stream broke off because its runner crashed.
 BOOST_FIXTURE_TEST_CASE(StreamCutMidway, Fixture)
 {
     model.setGeneration(1000, Milliseconds(10));
@@ -52,13 +54,13 @@
     BOOST_REQUIRE(test::waitFor([&] { return call->response.body.size() > 100; }));
     model.crash();
     BOOST_TEST(test::PlatformSite::finish(call));
-    const QByteArray told = explained("r1", "relay.ended");
-    BOOST_TEST(told.contains("Ended as broken off"));
-    BOOST_TEST(told.contains("at target model-1: reset by the peer"));
-    BOOST_TEST(told.contains("name=target.suspected target=model-1"));
+    const QByteArray explanation = explain("r1", "relay.ended");
+    BOOST_TEST(explanation.contains("Ended as broken off"));
+    BOOST_TEST(explanation.contains("at target model-1: reset by the peer"));
+    BOOST_TEST(explanation.contains("name=target.suspected target=model-1"));
 }
 
-// A client complains of a 502: the runner had broken the connection off.
+// A request got status 502 because the runner reset the connection.
 BOOST_FIXTURE_TEST_CASE(PlainRequestThatFailed, Fixture)
 {
     plain.setOverride([](const HttpRequest &, const Runner::Reply &reply) {
@@ -66,42 +68,42 @@
         return true;
     });
     BOOST_TEST(site.call(daemon, "POST", "/unsafe/a", "r1")->response.status == 502);
-    const QByteArray told = explained("r1", "relay.ended");
-    BOOST_TEST(told.contains("has run: maybe"));
-    BOOST_TEST(told.contains("to target plain-1, ended as broken: reset by the peer"));
+    const QByteArray explanation = explain("r1", "relay.ended");
+    BOOST_TEST(explanation.contains("has run: maybe"));
+    BOOST_TEST(explanation.contains("to target plain-1, ended as broken: reset by the peer"));
 }
 
-// A client complains of a refusal: no engine had room until its time was over.
+// A request was refused because no engine had capacity before its deadline.
 BOOST_FIXTURE_TEST_CASE(RefusalWithoutRoom, Fixture)
 {
     model.setRoom(0);
     const auto call = site.send(daemon, "POST", "/model/a", "r1", test::PlatformSite::generation());
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST(call->response.status == 503);
-    const QByteArray told = explained("r1", "relay.ended");
-    BOOST_TEST(told.contains("Ended as no_target"));
-    BOOST_TEST(told.contains("has run: no"));
-    BOOST_TEST(told.contains("engines refused room, 0 sends"));
+    const QByteArray explanation = explain("r1", "relay.ended");
+    BOOST_TEST(explanation.contains("Ended as no_target"));
+    BOOST_TEST(explanation.contains("has run: no"));
+    BOOST_TEST(explanation.contains("engines refused room, 0 sends"));
 }
 
-// A client complains of a 503 for a route that it knows to exist: the store was away, and the
-// daemon could not tell whether a newer configuration has the route.
+// A request for an existing route got status 503: the store was unavailable, and the daemon could
+// not tell whether a newer configuration has the route.
 BOOST_FIXTURE_TEST_CASE(RefusalWithoutTheStore, Fixture)
 {
-    site.signal(other, SIGKILL);
+    site.signal(otherDaemon, SIGKILL);
     site.store().refuse(standin::StoreEmulator::Door::First, true);
-    int tries = 0;
+    int attempts = 0;
     QByteArray id;
     BOOST_REQUIRE(test::waitFor([&] {
-        id = "r" + QByteArray::number(++tries);
+        id = "r" + QByteArray::number(++attempts);
         return site.call(daemon, "GET", "/extra/a", id)->response.status == 503;
     }));
-    const QByteArray told = explained(id, "relay.refused");
-    BOOST_TEST(told.contains("Refused as not_ready: no route"));
-    BOOST_TEST(told.contains("The platform's store was away since"));
+    const QByteArray explanation = explain(id, "relay.refused");
+    BOOST_TEST(explanation.contains("Refused as not_ready: no route"));
+    BOOST_TEST(explanation.contains("The platform's store was away since"));
 }
 
-// Logs without the request are no explanation.
+// "explain" fails if the logs do not contain the request, or if a log cannot be read.
 BOOST_FIXTURE_TEST_CASE(UnknownRequestIsTold, Fixture)
 {
     const QString log = test::temporaryFile(QStringLiteral("one.log"), site.log(daemon));
@@ -113,7 +115,7 @@
     BOOST_TEST(missing.exitCode == 2);
 }
 
-// A client was refused at once: the only data centre with targets for it had been evacuated.
+// A request was refused at once because the only data centre with targets for it was evacuated.
 BOOST_FIXTURE_TEST_CASE(RefusedAsAllIsEvacuated, Fixture)
 {
     site.evacuate(QStringLiteral("hall"), true);
@@ -123,8 +125,8 @@
         id = "e" + QByteArray::number(++requests);
         return site.call(daemon, "GET", "/safe/a", id)->response.status == 503;
     }));
-    const QByteArray told = explained(id, "relay.ended");
-    BOOST_TEST(told.contains("Ended as no_target"));
-    BOOST_TEST(told.contains("has run: no"));
-    BOOST_TEST(told.contains("Data centre hall was evacuated since"));
+    const QByteArray explanation = explain(id, "relay.ended");
+    BOOST_TEST(explanation.contains("Ended as no_target"));
+    BOOST_TEST(explanation.contains("has run: no"));
+    BOOST_TEST(explanation.contains("Data centre hall was evacuated since"));
 }
--- a/test/failure/PlatformMoves.cpp
+++ b/test/failure/PlatformMoves.cpp
@@ -1,4 +1,4 @@
-// Generations that move away from runners that leave.
+// Tests that generations move away from draining runners.
 #define BOOST_TEST_MODULE PlatformMoves
 #include <boost/test/unit_test.hpp>
 
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr int Events = 200;
-/// Bytes of a daemon's log shown if it has ended: its stack is there.
-constexpr qsizetype LogTail = 4000;
-/// The answer of a runner that holds what it copied.
+/// Tail of a daemon's log that is shown if the daemon has ended; it contains the stack trace.
+constexpr qsizetype LogTailBytes = 4000;
+/// The answer of a runner to a move order when the destination holds the copied state.
 const QByteArray CopyHeld = R"({"handle":"copy","created":1})";
 
-/// The order to stop a generation and copy what is left of it.
+/// The order to stop a generation and copy its remaining state.
 bool isLastMove(const HttpRequest &request)
 {
     return request.path == "/v1/kv-move" && request.body.contains("\"last\":true");
@@ -32,14 +32,15 @@
         second.setGeneration(Events, Milliseconds(10));
         call = site.send(daemon, "POST", "/model/a", "r1", test::PlatformSite::generation());
         BOOST_REQUIRE(test::waitFor([&] { return call->response.body.size() > 100; }));
-        isAtFirst = first.generating() == 1;
+        isOnFirst = first.generating() == 1;
     }
 
-    Runner &source() { return isAtFirst ? first : second; }
-    Runner &destination() { return isAtFirst ? second : first; }
-    void leave() { site.announce(source(), "model", "draining"); }
-    /// Adds another target and waits until the daemon knows it, and all that was written before.
-    void awaitEntriesTaken(const QByteArray &marker)
+    Runner &source() { return isOnFirst ? first : second; }
+    Runner &destination() { return isOnFirst ? second : first; }
+    void drainSource() { site.announce(source(), "model", "draining"); }
+    /// Adds another target and waits until the daemon knows it, and with it every entry written
+    /// before.
+    void awaitEntriesApplied(const QByteArray &marker)
     {
         site.addRunner(marker, "plain");
         BOOST_REQUIRE(test::waitFor(
@@ -51,16 +52,16 @@
     Runner &second = site.addRunner("model-2", "model");
     int daemon = -1;
     std::shared_ptr<test::ClientCall> call;
-    bool isAtFirst = true;
+    bool isOnFirst = true;
 };
 
 } // namespace
 
-// A runner is taken away while it generates. Its stream goes on at another one from where the
-// client is; every event comes once and in order.
+// Guards against the loss of a stream whose runner drains while it generates. The stream resumes on
+// another runner after the client's last event, and every event arrives once and in order.
 BOOST_FIXTURE_TEST_CASE(StreamGoesOnElsewhere, Fixture)
 {
-    leave();
+    drainSource();
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->end == HttpExchangeEnd::Complete));
     BOOST_TEST((call->response.body == test::PlatformSite::events(Events)));
@@ -70,24 +71,25 @@
     BOOST_TEST((headers.value("Cranberryquay-Request-Id") == "r1"));
 }
 
-// The runner that a stream was moved to answered it with a failure. The daemon took the end of
-// that answer for the end of the stream, and the client saw half an answer as a whole one.
+// Guards against a truncated stream that looks complete: the runner that a stream was moved to
+// answered with an error, and the daemon took the end of that answer for the end of the stream.
 BOOST_FIXTURE_TEST_CASE(FailureAfterAMoveIsNoEnd, Fixture)
 {
-    Runner &there = destination();
-    there.setOverride([&there](const HttpRequest &request, const Runner::Reply &reply) {
-        const bool isResumed = request.headers.contains("Kv-From");
-        if (isResumed)
-            reply->send({500, there.answerHeaders(request), "failed"});
-        return isResumed;
-    });
-    leave();
+    Runner &destinationRunner = destination();
+    destinationRunner.setOverride(
+        [&destinationRunner](const HttpRequest &request, const Runner::Reply &reply) {
+            const bool isResumed = request.headers.contains("Kv-From");
+            if (isResumed)
+                reply->send({500, destinationRunner.answerHeaders(request), "failed"});
+            return isResumed;
+        });
+    drainSource();
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->end == HttpExchangeEnd::Broken));
     BOOST_TEST(!call->response.body.contains("failed"));
 }
 
-// The other runner has no room at first. The move is tried again, and the stream is not lost.
+// A move is retried if the destination has no capacity at first, and the stream is not lost.
 BOOST_FIXTURE_TEST_CASE(MoveWithoutRoomIsTriedAgain, Fixture)
 {
     int refusals = 0;
@@ -99,14 +101,14 @@
         }
         return isRefused;
     });
-    leave();
+    drainSource();
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST(refusals == 3);
     BOOST_TEST((call->end == HttpExchangeEnd::Complete));
     BOOST_TEST((call->response.body == test::PlatformSite::events(Events)));
 }
 
-// The order to move is never answered. The stream stays where it is and comes whole.
+// A move order is never answered. The stream stays on its runner and arrives complete.
 BOOST_FIXTURE_TEST_CASE(UnansweredMoveLeavesTheStream, Fixture)
 {
     source().setOverride([](const HttpRequest &request, const Runner::Reply &reply) {
@@ -115,110 +117,115 @@
             reply->abort();
         return isMove;
     });
-    leave();
+    drainSource();
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->end == HttpExchangeEnd::Complete));
     BOOST_TEST((call->response.body == test::PlatformSite::events(Events)));
 }
 
-// A runner that leaves gets no new request.
+// A draining runner gets no new request.
 BOOST_FIXTURE_TEST_CASE(LeavingRunnerTakesNothingNew, Fixture)
 {
-    leave();
+    drainSource();
     BOOST_TEST(test::PlatformSite::finish(call));
-    const qsizetype before = source().ran().size();
+    const qsizetype runsBefore = source().ran().size();
     for (int i = 0; i < 4; ++i) {
         const QByteArray id = "n" + QByteArray::number(i);
         destination().setGeneration(3, Milliseconds(2));
-        const auto next =
+        const auto nextCall =
             site.call(daemon, "POST", "/model/a", id, test::PlatformSite::generation());
-        BOOST_TEST((next->response.body == test::PlatformSite::events(3)));
+        BOOST_TEST((nextCall->response.body == test::PlatformSite::events(3)));
     }
-    BOOST_TEST(source().ran().size() == before);
+    BOOST_TEST(source().ran().size() == runsBefore);
 }
 
-// The last part finds no room, so that only the source still holds the generation. It was resumed
-// there without the name of the target, and a target that has taken over the address would run it.
+// Guards against a resume on the wrong target: the last part of the state finds no capacity, so
+// that only the source still holds the generation. It was resumed there without the target's id, so
+// that another target that has taken over the address would run it.
 BOOST_FIXTURE_TEST_CASE(StreamResumedAtItsSourceNamesTheTarget, Fixture)
 {
-    Runner &from = source();
-    from.setOverride([&from](const HttpRequest &request, const Runner::Reply &reply) {
-        const bool isLast = isLastMove(request);
-        if (isLast) {
-            from.crash();
-            reply->send({503, {}, CopyHeld});
-        }
-        return isLast;
-    });
-    leave();
-    BOOST_REQUIRE(test::waitFor([&] { return from.ran().size() == 2; }));
-    const HttpHeaders &headers = from.ran().last().headers;
-    BOOST_TEST((headers.value("Kv-From") == from.address() + "/copy"));
-    BOOST_TEST((headers.value("Cranberryquay-Expect-Instance") == from.id()));
+    Runner &sourceRunner = source();
+    sourceRunner.setOverride(
+        [&sourceRunner](const HttpRequest &request, const Runner::Reply &reply) {
+            const bool isLast = isLastMove(request);
+            if (isLast) {
+                sourceRunner.crash();
+                reply->send({503, {}, CopyHeld});
+            }
+            return isLast;
+        });
+    drainSource();
+    BOOST_REQUIRE(test::waitFor([&] { return sourceRunner.ran().size() == 2; }));
+    const HttpHeaders &headers = sourceRunner.ran().last().headers;
+    BOOST_TEST((headers.value("Kv-From") == sourceRunner.address() + "/copy"));
+    BOOST_TEST((headers.value("Cranberryquay-Expect-Instance") == sourceRunner.id()));
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->response.body == test::PlatformSite::events(Events)));
 }
 
-// A stream is lost because its data centre is evacuated while it is stopped for a move. Its place
-// at the destination was given back twice, so that the destination counted as emptier than it was.
+// Guards against a double release: a stream is lost because its data centre is evacuated while it
+// is stopped for a move. Its slot at the destination was released twice, so that the destination
+// was counted as less loaded than it was.
 BOOST_FIXTURE_TEST_CASE(StreamLostDuringAMoveFreesItsPlaceOnce, Fixture)
 {
     Runner::Reply lastMove;
-    Runner &from = source();
-    from.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
+    Runner &sourceRunner = source();
+    sourceRunner.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
         const bool isLast = isLastMove(request);
         if (isLast)
             lastMove = reply;
         return isLast;
     });
-    leave();
+    drainSource();
     BOOST_REQUIRE(test::waitFor([&] { return lastMove != nullptr; }));
     site.evacuate(QStringLiteral("hall"), true);
     BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains("evacuation.in_force"); }));
-    from.crash();
+    sourceRunner.crash();
     lastMove->send({503, {}, CopyHeld});
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->end == HttpExchangeEnd::Broken));
     site.evacuate(QStringLiteral("hall"), false);
     BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains("evacuation.ended"); }));
     destination().setGeneration(3, Milliseconds(2));
-    const auto next = site.call(daemon, "POST", "/model/a", "r2", test::PlatformSite::generation());
-    BOOST_TEST((next->response.body == test::PlatformSite::events(3)));
-    const QByteArray sent = "name=relay.sent request=r2 target=" + destination().id();
-    BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains(sent); }));
+    const auto nextCall =
+        site.call(daemon, "POST", "/model/a", "r2", test::PlatformSite::generation());
+    BOOST_TEST((nextCall->response.body == test::PlatformSite::events(3)));
+    const QByteArray sentLine = "name=relay.sent request=r2 target=" + destination().id();
+    BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains(sentLine); }));
     const QByteArray log = site.log(daemon);
-    const QByteArray line = log.mid(log.indexOf(sent)).split('\n').first();
+    const QByteArray line = log.mid(log.indexOf(sentLine)).split('\n').first();
     BOOST_TEST_INFO(line.constData());
-    // Itself alone.
+    // The request itself is the only one counted.
     BOOST_TEST(line.contains(" own=1 "));
 }
 
-// A destination's entry ends while the last part is copied there. The stream that went on there was
-// not counted as its request; when the entry came back and ended again, the daemon crashed.
+// Guards against a wrong count of requests at a destination whose entry is removed while the last
+// part is copied there. The stream that resumed there was not counted; when the entry was added and
+// removed again, the daemon crashed.
 BOOST_FIXTURE_TEST_CASE(StreamAtADestinationWhoseEntryEndsIsCounted, Fixture)
 {
     const QString entry = QStringLiteral("servers/") + QString::fromLatin1(destination().id());
     Runner::Reply lastMove;
-    Runner &from = source();
-    from.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
+    Runner &sourceRunner = source();
+    sourceRunner.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
         const bool isLast = isLastMove(request);
         if (isLast)
             lastMove = reply;
         return isLast;
     });
-    leave();
+    drainSource();
     BOOST_REQUIRE(test::waitFor([&] { return lastMove != nullptr; }));
     site.store().remove(entry);
     BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains("name=target.gone"); }));
-    from.crash();
+    sourceRunner.crash();
     lastMove->send({200, {}, CopyHeld});
     BOOST_REQUIRE(test::waitFor([&] { return destination().generating() == 1; }));
     site.announce(destination(), "model", "ready");
-    awaitEntriesTaken("marker-1");
+    awaitEntriesApplied("marker-1");
     site.store().remove(entry);
-    awaitEntriesTaken("marker-2");
+    awaitEntriesApplied("marker-2");
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->response.body == test::PlatformSite::events(Events)));
-    BOOST_TEST_INFO(site.log(daemon).right(LogTail).constData());
+    BOOST_TEST_INFO(site.log(daemon).right(LogTailBytes).constData());
     BOOST_TEST(!site.hasEnded(daemon));
 }
