--- a/test/failure/PlatformRebirth.cpp
+++ b/test/failure/PlatformRebirth.cpp
@@ -1,4 +1,4 @@
-// Runners that start again under their id, and entries that other programs wrote.
+// Tests runners that restart under the same id, and entries that other programs wrote.
 #define BOOST_TEST_MODULE PlatformRebirth
 #include <boost/test/unit_test.hpp>
 
@@ -21,22 +21,22 @@
         runner.setBorn(FirstStart);
         site.announce(runner, "model", "ready");
         daemon = site.startDaemon();
-        BOOST_REQUIRE(logs("name=target.joined"));
+        BOOST_REQUIRE(awaitLogLine("name=target.joined"));
     }
 
-    bool logs(const QByteArray &line)
+    bool awaitLogLine(const QByteArray &line)
     {
         return test::waitFor([&] { return site.log(daemon).contains(line); });
     }
 
-    std::shared_ptr<test::ClientCall> begin(const QByteArray &id)
+    std::shared_ptr<test::ClientCall> startStream(const QByteArray &id)
     {
         auto call = site.send(daemon, "POST", "/model/a", id, test::PlatformSite::generation());
         BOOST_REQUIRE(test::waitFor([&] { return !call->response.body.isEmpty(); }));
         return call;
     }
 
-    void overwrite(const QByteArray &value) { site.store().put("servers/model-1", value); }
+    void overwriteEntry(const QByteArray &value) { site.store().put("servers/model-1", value); }
 
     test::PlatformSite site;
     Runner &runner = site.addRunner("model-1", "model");
@@ -45,48 +45,50 @@
 
 } // namespace
 
-// A runner crashes behind a cut and starts again under its id. The connection of the stream that
-// it ran stays open and silent. The client would wait until its deadline for events that no start
-// of the runner makes; it is told at once, and its next request is served by the new start.
+// Guards against streams of a runner's previous process that stay open until their deadline: a
+// runner crashes behind a partition and restarts under its id, and the connection of its stream
+// stays open and silent. The client is told at once, and its next request is served by the new
+// process.
 BOOST_FIXTURE_TEST_CASE(StreamsOfTheFormerStartEnd, Fixture)
 {
     runner.setGeneration(1000, Milliseconds(10));
-    const auto call = begin("r1");
+    const auto call = startStream("r1");
     runner.startAgain(SecondStart);
     site.announce(runner, "model", "ready");
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->end == HttpExchangeEnd::Broken));
-    BOOST_TEST(logs("reason=\"the target started again\""));
+    BOOST_TEST(awaitLogLine("reason=\"the target started again\""));
     runner.setGeneration(3, Milliseconds(2));
-    const auto next = site.call(daemon, "POST", "/model/a", "r2", test::PlatformSite::generation());
-    BOOST_TEST((next->response.body == test::PlatformSite::events(3)));
+    const auto nextCall =
+        site.call(daemon, "POST", "/model/a", "r2", test::PlatformSite::generation());
+    BOOST_TEST((nextCall->response.body == test::PlatformSite::events(3)));
 }
 
-// A runner said that it leaves, ended, and started again under its id. Taken for the one that
-// leaves, it would get no work for the rest of its life.
+// Guards against a runner that is excluded for good: it drained, ended and restarted under its id.
+// Taken for the draining process, it would get no work.
 BOOST_FIXTURE_TEST_CASE(RunnerThatLeftComesBack, Fixture)
 {
     site.announce(runner, "model", "draining");
-    BOOST_REQUIRE(logs("name=target.leaving"));
+    BOOST_REQUIRE(awaitLogLine("name=target.leaving"));
     runner.startAgain(SecondStart);
     site.announce(runner, "model", "ready");
-    BOOST_REQUIRE(logs("name=target.started_again"));
+    BOOST_REQUIRE(awaitLogLine("name=target.started_again"));
     const auto call = site.call(daemon, "POST", "/model/a", "r1", test::PlatformSite::generation());
     BOOST_TEST((call->response.body == test::PlatformSite::events(3)));
     BOOST_TEST((runner.ran().first().headers.value("Cranberryquay-Expect-Instance") == "model-1"));
 }
 
-// Another program overwrites the entry of a runner. The stream there goes on, the runner gets
-// nothing new until its next heartbeat, and no crash is blamed on what it ran.
+// Another program overwrites the entry of a runner. The stream there goes on, the runner gets no
+// new request until its next heartbeat, and no request is suspected of a crash.
 BOOST_FIXTURE_TEST_CASE(ForeignEntryTakesNoStreamAway, Fixture)
 {
     runner.setGeneration(150, Milliseconds(5));
-    const auto call = begin("r1");
-    overwrite(R"({"service": "model", "address": 17, "state": "ready"})");
-    BOOST_REQUIRE(logs("name=target.withheld"));
-    const auto refused =
+    const auto call = startStream("r1");
+    overwriteEntry(R"({"service": "model", "address": 17, "state": "ready"})");
+    BOOST_REQUIRE(awaitLogLine("name=target.withheld"));
+    const auto refusedCall =
         site.call(daemon, "POST", "/model/a", "r2", test::PlatformSite::generation());
-    BOOST_TEST(refused->response.status == 503);
+    BOOST_TEST(refusedCall->response.status == 503);
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->response.body == test::PlatformSite::events(150)));
     BOOST_TEST(!site.log(daemon).contains("name=quarantine.suspect"));
@@ -100,11 +102,11 @@
     }));
 }
 
-// Entries of other writers beside a runner's: none is used, each is counted, the runner serves.
+// Entries of other writers are ignored and counted, and the runner beside them serves.
 BOOST_FIXTURE_TEST_CASE(ForeignEntriesNameNoRunner, Fixture)
 {
     const QByteArray address = runner.address();
-    const QList<QByteArray> values{
+    const QList<QByteArray> foreignEntries{
         "\xff\xfe not text",
         "[]",
         R"({"service": "model"})",
@@ -116,10 +118,10 @@
             "state": "ready", "born": 1700000000000.5})",
         R"({"service": "model", "address": ")" + address + R"(", "zone": "hall", "slots": "8",
             "state": "ready"})"};
-    for (qsizetype i = 0; i < values.size(); ++i)
-        site.store().put(QStringLiteral("servers/other-%1").arg(i), values.at(i));
+    for (qsizetype i = 0; i < foreignEntries.size(); ++i)
+        site.store().put(QStringLiteral("servers/other-%1").arg(i), foreignEntries.at(i));
     BOOST_REQUIRE(test::waitFor(
-        [&] { return site.log(daemon).count("name=target.unreadable") == values.size(); }));
+        [&] { return site.log(daemon).count("name=target.unreadable") == foreignEntries.size(); }));
     BOOST_TEST(!site.log(daemon).contains("target=other-"));
     const auto call = site.call(daemon, "POST", "/model/a", "r1", test::PlatformSite::generation());
     BOOST_TEST((call->response.body == test::PlatformSite::events(3)));
--- a/test/failure/PlatformReservations.cpp
+++ b/test/failure/PlatformReservations.cpp
@@ -1,4 +1,4 @@
-// Room that daemons reserve at engines before they send a generation there.
+// Tests the capacity that daemons reserve at engines before they send a generation there.
 #define BOOST_TEST_MODULE PlatformReservations
 #include <boost/test/unit_test.hpp>
 
@@ -20,9 +20,9 @@
         daemon = site.startDaemon();
     }
 
-    std::shared_ptr<test::ClientCall> generate(int at, const QByteArray &id)
+    std::shared_ptr<test::ClientCall> generate(int daemonIndex, const QByteArray &id)
     {
-        return site.send(at, "POST", "/model/a", id, test::PlatformSite::generation());
+        return site.send(daemonIndex, "POST", "/model/a", id, test::PlatformSite::generation());
     }
 
     test::PlatformSite site;
@@ -32,24 +32,25 @@
 
 } // namespace
 
-// Two daemons saw room for one more generation at the same engine and both sent one. The second
-// waited inside the engine for seconds, with room free elsewhere a moment later. The engine grants
-// its room once, so that the second daemon keeps its request until the first one has ended.
+// Guards against an overcommitted engine: two daemons saw capacity for one more generation at the
+// same engine, and both sent one. The second waited inside the engine for seconds although another
+// engine had capacity a moment later. The engine grants its capacity once, so that the second
+// daemon keeps its request until the first one has ended.
 BOOST_FIXTURE_TEST_CASE(RoomIsGivenOnce, Fixture)
 {
-    const int other = site.startDaemon();
+    const int otherDaemon = site.startDaemon();
     first.setRoom(1);
     first.setGeneration(20, Milliseconds(10));
-    const auto one = generate(daemon, "r1");
-    const auto two = generate(other, "r2");
-    BOOST_TEST(test::PlatformSite::finish(one));
-    BOOST_TEST(test::PlatformSite::finish(two));
-    BOOST_TEST((one->response.body == test::PlatformSite::events(20)));
-    BOOST_TEST((two->response.body == test::PlatformSite::events(20)));
+    const auto firstCall = generate(daemon, "r1");
+    const auto secondCall = generate(otherDaemon, "r2");
+    BOOST_TEST(test::PlatformSite::finish(firstCall));
+    BOOST_TEST(test::PlatformSite::finish(secondCall));
+    BOOST_TEST((firstCall->response.body == test::PlatformSite::events(20)));
+    BOOST_TEST((secondCall->response.body == test::PlatformSite::events(20)));
     BOOST_TEST(first.mostGenerating() == 1);
 }
 
-// An engine without room is left for one that has it, and is not sent the request.
+// An engine without capacity is skipped for one that has it, and is not sent the request.
 BOOST_FIXTURE_TEST_CASE(FullEngineIsLeftForAnother, Fixture)
 {
     Runner &second = site.addRunner("model-2", "model");
@@ -63,8 +64,8 @@
     BOOST_TEST(second.ran().size() == 4);
 }
 
-// Without room anywhere a client is told that its request has not run and when to come back, and
-// no engine has seen it.
+// When no engine has capacity, the client is told that its request has not run and when to retry,
+// and no engine has received it.
 BOOST_FIXTURE_TEST_CASE(NoRoomAnywhereIsAPromise, Fixture)
 {
     first.setRoom(0);
@@ -75,16 +76,17 @@
     BOOST_TEST(first.ran().isEmpty());
 }
 
-// A client left while its daemon waited for the engine's word. The room that was then granted
-// would have stayed empty until its time was over; it is given back.
+// Guards against a leaked reservation: a client disconnects while its daemon waits for the engine's
+// answer. The capacity that is then granted would stay unused until the reservation expires; it is
+// released.
 BOOST_FIXTURE_TEST_CASE(RoomOfAClientThatLeftIsGivenBack, Fixture)
 {
     Runner::Reply pending;
-    bool isGivenBack = false;
+    bool isReleased = false;
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
         if (request.path == ReservationPath)
             pending = reply;
-        isGivenBack = isGivenBack || request.path == "/v1/hold-drop/late";
+        isReleased = isReleased || request.path == "/v1/hold-drop/late";
         return request.path == ReservationPath;
     });
     auto call = generate(daemon, "r1");
@@ -92,12 +94,12 @@
     call->exchange.reset();
     BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains("caller gone"); }));
     pending->send({200, {}, R"({"hold": "late"})"});
-    BOOST_TEST(test::waitFor([&] { return isGivenBack; }));
+    BOOST_TEST(test::waitFor([&] { return isReleased; }));
     BOOST_TEST(first.ran().isEmpty());
 }
 
-// An engine breaks off the connection by which it was asked for room. Nothing of the request has
-// left, so that it runs elsewhere although it may run once only.
+// An engine resets the connection of the reservation. Nothing of the request has been sent, so that
+// it runs elsewhere even if it may run only once.
 BOOST_FIXTURE_TEST_CASE(BrokenReservationLosesNothing, Fixture)
 {
     Runner &second = site.addRunner("model-2", "model");
@@ -114,8 +116,8 @@
     BOOST_TEST(second.ran().size() == 4);
 }
 
-// The address of an engine was given to another one: it grants no room to a request that is not
-// meant for it.
+// An address is reused by another engine. That engine grants no capacity to a request that names
+// the former one.
 BOOST_FIXTURE_TEST_CASE(ReusedAddressGrantsNothing, Fixture)
 {
     site.store().put(QStringLiteral("servers/gone"), first.entry("model"));
@@ -127,14 +129,15 @@
     BOOST_TEST(first.reserved() == 0);
 }
 
-// An engine dropped an idle connection without notice, and the next question for room was reset.
-// The engine was taken for a broken one. It is asked once more over a new connection.
+// Guards against a false failure: an engine closed an idle connection without notice, and the next
+// reservation over it was reset. The engine was then suspected of having failed. The reservation is
+// retried once over a new connection.
 BOOST_FIXTURE_TEST_CASE(DroppedIdleConnectionIsNoFailure, Fixture)
 {
     BOOST_TEST(test::PlatformSite::finish(generate(daemon, "r1")));
-    int dropped = 0;
+    int reservations = 0;
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
-        const bool isDropped = request.path == ReservationPath && ++dropped == 1;
+        const bool isDropped = request.path == ReservationPath && ++reservations == 1;
         if (isDropped)
             reply->abort();
         return isDropped;
@@ -142,6 +145,6 @@
     const auto call = generate(daemon, "r2");
     BOOST_TEST(test::PlatformSite::finish(call));
     BOOST_TEST((call->response.body == test::PlatformSite::events(3)));
-    BOOST_TEST(dropped == 2);
+    BOOST_TEST(reservations == 2);
     BOOST_TEST(!site.log(daemon).contains("name=target.suspected"));
 }
--- a/test/failure/PlatformRunners.cpp
+++ b/test/failure/PlatformRunners.cpp
@@ -1,4 +1,4 @@
-// What runners do wrong, and what a client is told of it.
+// Tests faulty answers of runners and what the client receives then.
 #define BOOST_TEST_MODULE PlatformRunners
 #include <boost/test/unit_test.hpp>
 
@@ -27,7 +27,7 @@
     int daemon = -1;
 };
 
-/// A site whose plain runner writes what the test says.
+/// A site whose plain runner sends the bytes that the test specifies.
 struct RawFixture {
     RawFixture()
     {
@@ -45,8 +45,8 @@
     int daemon = -1;
 };
 
-/// The head of a sealed answer to @p request with the lines @p framing.
-QByteArray head(const QByteArray &request, const QByteArray &framing)
+/// The status line and headers of a sealed answer to @p request, with the header lines @p framing.
+QByteArray sealedHead(const QByteArray &request, const QByteArray &framing)
 {
     return "HTTP/1.1 200 OK\r\nCranberryquay-Response-Seal: s\r\nCranberryquay-Request-Id: "
         + RawRunner::header(request, "Cranberryquay-Request-Id") + "\r\n" + framing + "\r\n";
@@ -59,31 +59,31 @@
 
 } // namespace
 
-// A client got a body that was cut short as if it were whole: the runner's answer had no length
-// and its connection was reset midway, which looked like an orderly close.
+// Guards against a truncated body that looks complete: the runner's answer had no length and its
+// connection was reset midway, which looked like an orderly close.
 BOOST_FIXTURE_TEST_CASE(ResetAnswerWithoutLengthIsNotWhole, RawFixture)
 {
     answer = [](const QByteArray &request) {
-        return RawAnswer{head(request, "") + "half", RawAnswer::After::Reset};
+        return RawAnswer{sealedHead(request, "") + "half", RawAnswer::After::Reset};
     };
     const auto call = site.call(daemon, "POST", "/unsafe/a", "r1");
     BOOST_TEST(call->response.status == 502);
     BOOST_TEST(!call->response.headers.contains("Cranberryquay-Response-Seal"));
 }
 
-// The same answer with an orderly close is whole.
+// The same answer with an orderly close is complete.
 BOOST_FIXTURE_TEST_CASE(ClosedAnswerWithoutLengthIsWhole, RawFixture)
 {
     answer = [](const QByteArray &request) {
-        return RawAnswer{head(request, "") + "whole", RawAnswer::After::Close};
+        return RawAnswer{sealedHead(request, "") + "whole", RawAnswer::After::Close};
     };
     const auto call = site.call(daemon, "POST", "/unsafe/a", "r1");
     BOOST_TEST(call->response.status == 200);
     BOOST_TEST((call->response.body == "whole"));
 }
 
-// A client was told that its request had not run although it had: the runner answered 503 without
-// saying that it did not run it, and the daemon passed the 503 on.
+// Guards against a client that is told that its request has not run although it has: the runner
+// answered 503 without marking the request as not executed, and the daemon forwarded the 503.
 BOOST_FIXTURE_TEST_CASE(UnmarkedRefusalIsNoPromise, Fixture)
 {
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
@@ -94,14 +94,14 @@
     BOOST_TEST(site.call(daemon, "POST", "/unsafe/a", "r1")->response.status == 502);
 }
 
-// A full runner says that it did not run the request; another one then takes it.
+// A runner without capacity marks the request as not executed; another runner then executes it.
 BOOST_FIXTURE_TEST_CASE(MarkedRefusalGoesElsewhere, Fixture)
 {
     Runner &second = site.addRunner("plain-2", "plain");
-    int refused = 0;
+    int refusals = 0;
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
         if (isPlain(request)) {
-            ++refused;
+            ++refusals;
             reply->send({503, {{"Cranberryquay-Not-Executed", "1"}}, {}});
         }
         return isPlain(request);
@@ -113,7 +113,7 @@
     BOOST_TEST(second.ran().size() == 6);
 }
 
-// Where no runner takes it, the client is told so and when to come back.
+// When every runner refuses the request, the client is told so and when to retry.
 BOOST_FIXTURE_TEST_CASE(RefusedByAllIsAPromise, Fixture)
 {
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
@@ -127,7 +127,7 @@
     BOOST_TEST(first.ran().isEmpty());
 }
 
-// An address was given to another runner: the request is not run there and goes on elsewhere.
+// An address is reused by another runner: the request is not executed there and is sent elsewhere.
 BOOST_FIXTURE_TEST_CASE(ReusedAddressDoesNotRunIt, Fixture)
 {
     Runner &second = site.addRunner("plain-2", "plain");
@@ -139,34 +139,34 @@
     BOOST_TEST(first.ran().size() + second.ran().size() == 6);
 }
 
-// A runner fails an idempotent request; another one answers it. One that may run once is not
-// sent again.
+// A runner fails an idempotent request, and another one answers it. A request that may run only
+// once is not sent again.
 BOOST_FIXTURE_TEST_CASE(OnlyIdempotentRequestsRunAgain, Fixture)
 {
     Runner &second = site.addRunner("plain-2", "plain");
     int runs = 0;
-    const auto fail = [&](const HttpRequest &request, const Runner::Reply &reply) {
+    const auto failFirstRun = [&](const HttpRequest &request, const Runner::Reply &reply) {
         if (isPlain(request) && ++runs == 1) {
             reply->abort();
             return true;
         }
         return false;
     };
-    first.setOverride(fail);
-    second.setOverride(fail);
+    first.setOverride(failFirstRun);
+    second.setOverride(failFirstRun);
     BOOST_TEST(site.call(daemon, "GET", "/safe/a", "r1")->response.status == 200);
     runs = 0;
     BOOST_TEST(site.call(daemon, "POST", "/unsafe/a", "r2")->response.status == 502);
     BOOST_TEST(runs == 1);
 }
 
-// An answer came twice; the second copy stood where the next request's answer was due, and its
-// caller got it.
+// Guards against an answer that reaches the wrong client: an answer was sent twice, and its second
+// copy was taken for the answer to the next request on the connection.
 BOOST_FIXTURE_TEST_CASE(LateSecondAnswerGoesToNobody, RawFixture)
 {
     answer = [](const QByteArray &request) {
-        const QByteArray text = head(request, "Content-Length: 2\r\n") + "ok";
-        return RawAnswer{text + text, RawAnswer::After::KeepOpen};
+        const QByteArray sealedAnswer = sealedHead(request, "Content-Length: 2\r\n") + "ok";
+        return RawAnswer{sealedAnswer + sealedAnswer, RawAnswer::After::KeepOpen};
     };
     for (int i = 0; i < 5; ++i) {
         const QByteArray id = "r" + QByteArray::number(i);
@@ -176,21 +176,21 @@
     }
 }
 
-// An extra answer came on a connection before the one that was due. It names another request and
-// is skipped; the one behind it is the right one.
+// An extra answer precedes the expected one on a connection. It names another request and is
+// skipped; the one behind it is forwarded.
 BOOST_FIXTURE_TEST_CASE(ExtraAnswerBeforeTheRightOneIsSkipped, RawFixture)
 {
     answer = [](const QByteArray &request) {
-        QByteArray other = head(request, "Content-Length: 5\r\n") + "wrong";
-        other.replace(RawRunner::header(request, "Cranberryquay-Request-Id"), "another");
-        return RawAnswer{other + head(request, "Content-Length: 2\r\n") + "ok",
+        QByteArray otherAnswer = sealedHead(request, "Content-Length: 5\r\n") + "wrong";
+        otherAnswer.replace(RawRunner::header(request, "Cranberryquay-Request-Id"), "another");
+        return RawAnswer{otherAnswer + sealedHead(request, "Content-Length: 2\r\n") + "ok",
                          RawAnswer::After::KeepOpen};
     };
     const auto call = site.call(daemon, "POST", "/unsafe/a", "r1");
     BOOST_TEST((call->response.body == "ok"));
 }
 
-// An answer that bears another request's id, or is encoded, is not passed on.
+// An answer that bears another request's id, or is encoded, is not forwarded.
 BOOST_FIXTURE_TEST_CASE(AnothersAnswerIsNotPassedOn, Fixture)
 {
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
@@ -206,7 +206,7 @@
     BOOST_TEST(!call->response.body.contains("secret"));
 }
 
-// A client left its stream, and the runner went on generating for nobody.
+// Guards against wasted work: a client closed its stream, and the runner went on generating.
 BOOST_FIXTURE_TEST_CASE(ClosedStreamEndsAtTheRunner, Fixture)
 {
     model.setGeneration(100000, Milliseconds(5));
@@ -217,7 +217,8 @@
     BOOST_TEST(test::waitFor([&] { return model.generating() == 0; }));
 }
 
-// A runner crashed midway; the stream must not look whole, and no other runner may begin it anew.
+// A runner crashes midway. The stream must not look complete, and no other runner may restart it
+// from the beginning.
 BOOST_FIXTURE_TEST_CASE(CrashMidwayBreaksTheStreamOff, Fixture)
 {
     Runner &second = site.addRunner("model-2", "model");
@@ -232,35 +233,37 @@
     BOOST_TEST(model.ran().size() + second.ran().size() == 1);
 }
 
-// A data centre was evacuated and another one's runner had left, so that one runner served all. A
-// request that failed there found no other runner, waited for one and was told that none has room,
-// though the one that failed answers three of ten when asked again.
+// Guards against a refusal while a runner is available: after an evacuation and the loss of another
+// runner one runner served all. A request that failed there found no other runner, waited for one
+// and was refused for lack of capacity, although the one that failed answers three of ten requests
+// on a retry.
 BOOST_FIXTURE_TEST_CASE(LoneRunnerIsAskedAgain, Fixture)
 {
-    int asked = 0;
+    int attempts = 0;
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
-        const bool fails = isPlain(request) && ++asked == 1;
+        const bool fails = isPlain(request) && ++attempts == 1;
         if (fails)
             reply->send({500, first.answerHeaders(request), "failed"});
         return fails;
     });
     BOOST_TEST(site.call(daemon, "GET", "/safe/a", "r1")->response.status == 200);
-    BOOST_TEST(asked == 2);
+    BOOST_TEST(attempts == 2);
 }
 
-// The same runner fails again: the client is given its answer and not one of the daemon's own.
+// The same runner fails again: the client gets the runner's answer and not one that the daemon
+// makes.
 BOOST_FIXTURE_TEST_CASE(LoneRunnersFailureIsPassedOn, Fixture)
 {
-    int asked = 0;
+    int attempts = 0;
     first.setOverride([&](const HttpRequest &request, const Runner::Reply &reply) {
         if (!isPlain(request))
             return false;
-        ++asked;
+        ++attempts;
         reply->send({500, first.answerHeaders(request), "failed"});
         return true;
     });
     const auto call = site.call(daemon, "GET", "/safe/a", "r1");
     BOOST_TEST(call->response.status == 500);
     BOOST_TEST(call->response.headers.contains("Cranberryquay-Response-Seal"));
-    BOOST_TEST(asked == 2);
+    BOOST_TEST(attempts == 2);
 }
--- a/test/failure/PlatformStops.cpp
+++ b/test/failure/PlatformStops.cpp
@@ -1,4 +1,4 @@
-// Daemons that are stopped while they serve.
+// Tests daemons that are stopped or reloaded while they serve.
 #define BOOST_TEST_MODULE PlatformStops
 #include <boost/test/unit_test.hpp>
 
@@ -26,8 +26,8 @@
 
 } // namespace
 
-// A daemon is stopped while a stream runs: the stream ends whole, the balancer is told at once,
-// short requests are still served, and the process ends when all is done.
+// A daemon is stopped while a stream runs: the stream completes, the balancer sees at once that the
+// daemon is not ready, short requests are still served, and the process ends when all are done.
 BOOST_FIXTURE_TEST_CASE(StopCutsNothingShort, Fixture)
 {
     model.setGeneration(60, Milliseconds(10));
@@ -41,8 +41,9 @@
     BOOST_TEST(test::waitFor([&] { return site.hasEnded(daemon); }));
 }
 
-// A stream that was taken 4.7 s after SIGTERM was cut when the process was killed. One that may
-// outlast the daemon is refused, so that another daemon takes it.
+// Guards against a stream that is cut when a stopping process is killed, as one accepted 4.7 s
+// after SIGTERM was. A stream that may outlast the daemon is refused, so that another daemon serves
+// it.
 BOOST_FIXTURE_TEST_CASE(LongStreamIsRefusedWhileStopping, Fixture)
 {
     site.signal(daemon, SIGTERM);
@@ -54,7 +55,7 @@
     BOOST_TEST(model.ran().isEmpty());
 }
 
-// A reload ends nothing.
+// A reload ends no stream.
 BOOST_FIXTURE_TEST_CASE(ReloadEndsNothing, Fixture)
 {
     model.setGeneration(40, Milliseconds(10));
--- a/test/failure/PlatformStore.cpp
+++ b/test/failure/PlatformStore.cpp
@@ -1,4 +1,4 @@
-// The platform's store cuts, forgets and turns daemons away.
+// Tests a store that cuts watches, loses its history, stops answering or refuses daemons.
 #define BOOST_TEST_MODULE PlatformStore
 #include <boost/test/unit_test.hpp>
 
@@ -29,18 +29,19 @@
 
 } // namespace
 
-// A key was taken away and still worked 5 s later: the store cut its watches after a change that
-// they had not heard of, and the watch opened again heard nothing either.
+// Guards against a missed change: a revoked key still worked 5 s later because the store cut its
+// watches after a change that they had not reported, and the reopened watch did not report it
+// either.
 BOOST_FIXTURE_TEST_CASE(ChangeBehindACutWatchIsRead, Fixture)
 {
-    // Both watches are open, that of the configuration and that of the targets.
+    // Both watches are open: that of the configuration and that of the targets.
     BOOST_REQUIRE(test::waitFor([&] { return site.store().calls("/v1/kv-watch") >= 2; }));
     site.store().cutWatches(true);
     site.configure(2, true);
     BOOST_TEST(test::waitFor([&] { return extraStatus("r1") == 200; }));
 }
 
-// The store forgot its history; the daemon reads all anew.
+// The store loses its history; the daemon reads everything again.
 BOOST_FIXTURE_TEST_CASE(ForgottenHistoryIsReadAnew, Fixture)
 {
     site.configure(2);
@@ -50,8 +51,8 @@
     BOOST_TEST(test::waitFor([&] { return extraStatus("r1") == 200; }));
 }
 
-// While the store is away a route that is not known here may be in a newer version: the client is
-// told to come back, not that there is none. Known routes are served on.
+// While the store is unavailable, a route unknown to the daemon may exist in a newer version: the
+// client is told to retry, not that there is no such route. Known routes are served.
 BOOST_FIXTURE_TEST_CASE(UnknownRouteIsNoVerdictWithoutTheStore, Fixture)
 {
     BOOST_TEST(extraStatus("r1") == 404);
@@ -62,8 +63,9 @@
     BOOST_TEST(test::waitFor([&] { return extraStatus("r4") == 404; }));
 }
 
-// Runners left while the store was silent: it closed nothing and answered nothing, and the watch
-// that waited there for up to 28 s made the daemon believe that nothing had changed.
+// Guards against stale targets: runners left while the store neither answered nor closed its
+// connections, and the pending watch, which waits for up to 28 s, made the daemon take its state
+// for current.
 BOOST_FIXTURE_TEST_CASE(SilentStoreIsFound, Fixture)
 {
     BOOST_REQUIRE(test::waitFor([&] { return site.store().calls("/v1/kv-watch") >= 2; }));
@@ -74,7 +76,7 @@
     BOOST_TEST(test::waitFor([&] { return extraStatus("r3") == 404; }));
 }
 
-// A daemon that starts while the store is down says that it is not ready, and serves once the
+// A daemon that starts while the store is down reports that it is not ready, and serves once the
 // store is back.
 BOOST_AUTO_TEST_CASE(StartsWithTheStoreDown)
 {
@@ -88,16 +90,16 @@
     BOOST_TEST(site.call(0, "GET", "/safe/a", "r1")->response.status == 200);
 }
 
-// The store turns one daemon away and serves the other. A route added meanwhile is served by
-// both, as the one asks the other.
+// The store refuses one daemon and serves the other. Both serve a route added meanwhile, as the
+// refused daemon fetches it from the other.
 BOOST_FIXTURE_TEST_CASE(DaemonTurnedAwayAsksAnother, Fixture)
 {
-    const int other = site.startDaemon(std::chrono::seconds(30), Door::Second);
+    const int otherDaemon = site.startDaemon(std::chrono::seconds(30), Door::Second);
     BOOST_REQUIRE(test::waitFor([&] { return site.log(daemon).contains("name=member.joined"); }));
     site.store().refuse(Door::First, true);
     site.configure(2, true);
     BOOST_TEST(test::waitFor([&] {
-        return site.call(other, "GET", "/extra/a", "r1")->response.status == 200
+        return site.call(otherDaemon, "GET", "/extra/a", "r1")->response.status == 200
             && extraStatus("r2") == 200;
     }));
 }
