--- a/test/failure/StreamsSurvive.cpp
+++ b/test/failure/StreamsSurvive.cpp
@@ -1,4 +1,5 @@
-// Every caller gets its own whole answer, once, in order and of one generation.
+// Tests that every caller gets its own complete answer, with each token once, in order and from one
+// generation.
 #define BOOST_TEST_MODULE StreamsSurvive
 #include <boost/test/unit_test.hpp>
 
@@ -14,11 +15,11 @@
 
 namespace {
 
-constexpr int ManyStreams = 500;
-constexpr int TokensOfEach = 40;
-constexpr int DealtStreams = 8;
+constexpr int ConcurrentStreams = 500;
+constexpr int TokensPerAnswer = 40;
+constexpr int RoundRobinStreams = 8;
 
-FleetPlan planOf(int engines)
+FleetPlan makePlan(int engines)
 {
     FleetPlan plan;
     plan.daemons = 1;
@@ -32,15 +33,16 @@
     return plan;
 }
 
-/// The whole own answer: numbered from 0, of one generation, as long as the engine makes it.
-bool isOwnWholeAnswer(const QString &prompt, const FleetStream &stream, int maxTokens)
+/// Whether @p stream is the complete answer to @p prompt: numbered from 0, of one generation and as
+/// long as the engine makes it.
+bool isExpectedAnswer(const QString &prompt, const FleetStream &stream, int maxTokens)
 {
     const int length = answerLength(AnswerLengths(), promptHash(prompt), maxTokens);
     return stream.isWhole() && stream.tokenCount() == length
         && checkAnswer(prompt, stream.answer().texts()) == AnswerFault::None;
 }
 
-/// A prompt whose answer has @p tokens tokens, the bound.
+/// Returns a prompt whose answer has exactly the maximum of @p tokens tokens.
 QString longPrompt(const QString &start, int tokens)
 {
     for (int i = 0;; ++i) {
@@ -50,7 +52,7 @@
     }
 }
 
-/// The engine that runs @p prompt, or -1.
+/// Returns the index of the engine that runs @p prompt, or -1.
 int engineOf(Fleet &fleet, const QString &prompt)
 {
     const QString hash = QString::fromUtf8(promptHash(prompt));
@@ -65,106 +67,107 @@
     return -1;
 }
 
-bool setAll(Fleet &fleet, const QJsonObject &faults)
+bool setFaultsOfAll(Fleet &fleet, const QJsonObject &faults)
 {
-    bool taken = true;
+    bool areAccepted = true;
     for (int i = 0; i < fleet.engineCount(); ++i)
-        taken = fleet.setFaults(fleet.engineEndpoint(i), faults) && taken;
-    return taken;
+        areAccepted = fleet.setFaults(fleet.engineEndpoint(i), faults) && areAccepted;
+    return areAccepted;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(FiveHundredStreamsAtOnce)
 {
-    // Two bulletins would be mixed, or one would lose a line, if streams that share a daemon
-    // and its engines were ever crossed. Two workspaces with 250 streams each are open at once.
-    Fleet fleet(planOf(4));
+    // Guards against mixed or incomplete answers when streams that share a daemon and its engines
+    // are confused. Two workspaces with 250 streams each are open at once.
+    Fleet fleet(makePlan(4));
     BOOST_REQUIRE(fleet.start());
-    struct Sent {
+    struct SentRequest {
         QString prompt;
         std::unique_ptr<FleetStream> stream;
     };
-    std::vector<Sent> sent;
-    for (int i = 0; i < ManyStreams; ++i) {
+    std::vector<SentRequest> sent;
+    for (int i = 0; i < ConcurrentStreams; ++i) {
         const QString prompt =
             QStringLiteral("bulletin of workspace %1, part %2").arg(i % 2).arg(i);
-        sent.push_back({prompt, fleet.complete(0, prompt, TokensOfEach, fleet.caller(i % 2))});
+        sent.push_back({prompt, fleet.complete(0, prompt, TokensPerAnswer, fleet.caller(i % 2))});
     }
     int whole = 0;
     int tokens = 0;
-    for (const Sent &request : sent) {
+    for (const SentRequest &request : sent) {
         BOOST_REQUIRE(request.stream->waitOver());
-        const bool own = isOwnWholeAnswer(request.prompt, *request.stream, TokensOfEach);
-        BOOST_CHECK_MESSAGE(own,
+        const bool isExpected = isExpectedAnswer(request.prompt, *request.stream, TokensPerAnswer);
+        BOOST_CHECK_MESSAGE(isExpected,
                             request.prompt.toStdString()
                                 + request.stream->response().body.right(400).toStdString());
-        whole += own ? 1 : 0;
+        whole += isExpected ? 1 : 0;
         tokens += request.stream->tokenCount();
     }
     BOOST_TEST_MESSAGE(whole << " of " << sent.size() << " answers whole, " << tokens << " tokens");
     int runs = 0;
     for (int i = 0; i < fleet.engineCount(); ++i)
         runs += int(fleet.runs(fleet.engineEndpoint(i))[QLatin1String("runs")].toArray().size());
-    BOOST_TEST(runs == ManyStreams);
+    BOOST_TEST(runs == ConcurrentStreams);
 }
 
 BOOST_AUTO_TEST_CASE(LinkThatStallsIsResumed)
 {
-    // A draft stands still for ever and the bulletin misses the morning: the link to the engine
-    // went silent without closing, and no side sees an error.
-    Fleet fleet(planOf(1));
+    // Guards against a stream that stalls for ever: the link to the engine goes silent without
+    // closing, and neither side sees an error.
+    Fleet fleet(makePlan(1));
     BOOST_REQUIRE(fleet.start());
-    BOOST_REQUIRE(setAll(fleet, {{QStringLiteral("stall_after"), 7}}));
-    const QString prompt = longPrompt(QStringLiteral("stalled draft "), TokensOfEach);
-    const auto stream = fleet.complete(0, prompt, TokensOfEach, fleet.caller());
+    BOOST_REQUIRE(setFaultsOfAll(fleet, {{QStringLiteral("stall_after"), 7}}));
+    const QString prompt = longPrompt(QStringLiteral("stalled draft "), TokensPerAnswer);
+    const auto stream = fleet.complete(0, prompt, TokensPerAnswer, fleet.caller());
     BOOST_REQUIRE(stream->waitOver());
-    BOOST_CHECK_MESSAGE(isOwnWholeAnswer(prompt, *stream, TokensOfEach),
+    BOOST_CHECK_MESSAGE(isExpectedAnswer(prompt, *stream, TokensPerAnswer),
                         stream->response().body.constData());
     BOOST_TEST(fleet.runsOf(prompt) == 1);
 }
 
 BOOST_AUTO_TEST_CASE(ResumeThatStallsToo)
 {
-    // The same draft, and the link of the resume goes silent as well: a switch drops every
-    // packet of both. The watchdog has to watch the resume like the stream before it.
-    Fleet fleet(planOf(1));
+    // The link of the resume goes silent as well, as when a switch drops every packet of both. The
+    // watchdog has to monitor the resume like the stream before it.
+    Fleet fleet(makePlan(1));
     BOOST_REQUIRE(fleet.start());
-    BOOST_REQUIRE(
-        setAll(fleet, {{QStringLiteral("stall_after"), 7}, {QStringLiteral("stall_resumes"), 2}}));
-    const QString prompt = longPrompt(QStringLiteral("draft stalled twice "), TokensOfEach);
+    BOOST_REQUIRE(setFaultsOfAll(
+        fleet, {{QStringLiteral("stall_after"), 7}, {QStringLiteral("stall_resumes"), 2}}));
+    const QString prompt = longPrompt(QStringLiteral("draft stalled twice "), TokensPerAnswer);
     HttpHeaders headers = fleet.caller();
     headers.add("Cranberry-Deadline-Ms", "10000");
-    const auto stream = fleet.complete(0, prompt, TokensOfEach, headers);
+    const auto stream = fleet.complete(0, prompt, TokensPerAnswer, headers);
     BOOST_REQUIRE(stream->waitOver());
-    BOOST_CHECK_MESSAGE(isOwnWholeAnswer(prompt, *stream, TokensOfEach),
+    BOOST_CHECK_MESSAGE(isExpectedAnswer(prompt, *stream, TokensPerAnswer),
                         stream->response().body.constData());
     BOOST_TEST(fleet.runsOf(prompt) == 1);
 }
 
 BOOST_AUTO_TEST_CASE(RequestLostOnAStalledLink)
 {
-    // A draft waits to its deadline for an engine that has never heard of it: the link went
-    // silent before the request was through. Asked for the generation, the engine does not
-    // know it; the cancel makes sure that it never will, and the draft runs elsewhere.
-    FleetPlan plan = planOf(2);
+    // Guards against a request that waits until its deadline for an engine that never received it:
+    // the link goes silent before the request is through. The engine reports that it does not know
+    // the generation, the cancel ensures that it never runs it, and the request runs on another
+    // engine.
+    FleetPlan plan = makePlan(2);
     plan.draftsService = {{QStringLiteral("policy"), QStringLiteral("round_robin")}};
     Fleet fleet(plan);
     BOOST_REQUIRE(fleet.start());
     BOOST_REQUIRE(fleet.setFaults(fleet.engineEndpoint(0), {{QStringLiteral("swallow"), 1}}));
-    const QString prompt = longPrompt(QStringLiteral("draft lost on the way "), TokensOfEach);
+    const QString prompt = longPrompt(QStringLiteral("draft lost on the way "), TokensPerAnswer);
     HttpHeaders headers = fleet.caller();
     headers.add("Cranberry-Deadline-Ms", "10000");
     std::vector<std::unique_ptr<FleetStream>> streams;
-    streams.reserve(DealtStreams);
-    for (int i = 0; i < DealtStreams; ++i)
-        streams.push_back(fleet.complete(0, prompt, TokensOfEach, headers));
+    streams.reserve(RoundRobinStreams);
+    for (int i = 0; i < RoundRobinStreams; ++i)
+        streams.push_back(fleet.complete(0, prompt, TokensPerAnswer, headers));
     for (const auto &stream : streams) {
         BOOST_REQUIRE(stream->waitOver());
-        BOOST_CHECK_MESSAGE(isOwnWholeAnswer(prompt, *stream, TokensOfEach),
+        BOOST_CHECK_MESSAGE(isExpectedAnswer(prompt, *stream, TokensPerAnswer),
                             stream->response().body.constData());
     }
-    BOOST_TEST(fleet.runsOf(prompt) == DealtStreams);
+    BOOST_TEST(fleet.runsOf(prompt) == RoundRobinStreams);
     const FleetAnswer faults =
         fleet.client().sendJson(fleet.engineEndpoint(0), "POST", "/faults", {});
     BOOST_TEST(faults.json[QLatin1String("swallow")].toInt(-1) == 0);
@@ -172,50 +175,50 @@
 
 BOOST_AUTO_TEST_CASE(EventsOfAnotherAttemptAreDropped)
 {
-    // A broker reads a line of another house's recap. The engine put events of another attempt
-    // into the stream, with numbers that fit.
-    Fleet fleet(planOf(2));
+    // Guards against events of another caller's answer: the engine puts events of another attempt
+    // into the stream, with event numbers that fit.
+    Fleet fleet(makePlan(2));
     BOOST_REQUIRE(fleet.start());
-    BOOST_REQUIRE(setAll(fleet, {{QStringLiteral("wrong_attempt"), true}}));
-    const QString prompt = longPrompt(QStringLiteral("recap among strangers "), TokensOfEach);
-    const auto stream = fleet.complete(0, prompt, TokensOfEach, fleet.caller());
+    BOOST_REQUIRE(setFaultsOfAll(fleet, {{QStringLiteral("wrong_attempt"), true}}));
+    const QString prompt = longPrompt(QStringLiteral("recap among strangers "), TokensPerAnswer);
+    const auto stream = fleet.complete(0, prompt, TokensPerAnswer, fleet.caller());
     BOOST_REQUIRE(stream->waitOver());
-    BOOST_CHECK_MESSAGE(isOwnWholeAnswer(prompt, *stream, TokensOfEach),
+    BOOST_CHECK_MESSAGE(isExpectedAnswer(prompt, *stream, TokensPerAnswer),
                         stream->response().body.constData());
 }
 
 BOOST_AUTO_TEST_CASE(EngineDiesBeforeTheFirstToken)
 {
-    // A draft hangs on an engine that is gone. Nothing of it has reached the caller and it may
-    // run twice, so it starts again on the other engine.
-    Fleet fleet(planOf(2));
+    // Guards against a request that waits for an engine that has died. Nothing of the answer has
+    // reached the caller and the request may run twice, so it restarts on the other engine.
+    Fleet fleet(makePlan(2));
     BOOST_REQUIRE(fleet.start());
-    BOOST_REQUIRE(setAll(fleet, {{QStringLiteral("slow_factor"), 300.0}}));
-    const QString prompt = longPrompt(QStringLiteral("draft that starts again "), TokensOfEach);
-    const auto stream = fleet.complete(0, prompt, TokensOfEach, fleet.caller());
+    BOOST_REQUIRE(setFaultsOfAll(fleet, {{QStringLiteral("slow_factor"), 300.0}}));
+    const QString prompt = longPrompt(QStringLiteral("draft that starts again "), TokensPerAnswer);
+    const auto stream = fleet.complete(0, prompt, TokensPerAnswer, fleet.caller());
     BOOST_REQUIRE(waitFor([&] { return engineOf(fleet, prompt) >= 0; }));
-    const int first = engineOf(fleet, prompt);
-    BOOST_REQUIRE(
-        fleet.setFaults(fleet.engineEndpoint(1 - first), {{QStringLiteral("slow_factor"), 1.0}}));
-    fleet.engine(first).kill();
+    const int firstEngine = engineOf(fleet, prompt);
+    BOOST_REQUIRE(fleet.setFaults(fleet.engineEndpoint(1 - firstEngine),
+                                  {{QStringLiteral("slow_factor"), 1.0}}));
+    fleet.engine(firstEngine).kill();
     BOOST_REQUIRE(stream->waitOver());
-    BOOST_CHECK_MESSAGE(isOwnWholeAnswer(prompt, *stream, TokensOfEach),
+    BOOST_CHECK_MESSAGE(isExpectedAnswer(prompt, *stream, TokensPerAnswer),
                         stream->response().body.constData());
 }
 
 BOOST_AUTO_TEST_CASE(EngineDiesAfterTheFirstToken)
 {
-    // A recap whose second half came of another generation would contradict its first half.
-    // The engine died after some tokens; the stream ends and says so, and nothing is spliced.
-    Fleet fleet(planOf(2));
+    // Guards against an answer spliced from two generations: the engine dies after some tokens. The
+    // stream ends with an error, and nothing of another run is appended.
+    Fleet fleet(makePlan(2));
     BOOST_REQUIRE(fleet.start());
-    BOOST_REQUIRE(setAll(fleet, {{QStringLiteral("slow_factor"), 10.0}}));
-    const QString prompt = longPrompt(QStringLiteral("recap that breaks off "), TokensOfEach);
-    const auto stream = fleet.complete(0, prompt, TokensOfEach, fleet.caller());
+    BOOST_REQUIRE(setFaultsOfAll(fleet, {{QStringLiteral("slow_factor"), 10.0}}));
+    const QString prompt = longPrompt(QStringLiteral("recap that breaks off "), TokensPerAnswer);
+    const auto stream = fleet.complete(0, prompt, TokensPerAnswer, fleet.caller());
     BOOST_REQUIRE(stream->waitForTokens(3));
-    const int first = engineOf(fleet, prompt);
-    BOOST_REQUIRE(first >= 0);
-    fleet.engine(first).kill();
+    const int firstEngine = engineOf(fleet, prompt);
+    BOOST_REQUIRE(firstEngine >= 0);
+    fleet.engine(firstEngine).kill();
     BOOST_REQUIRE(stream->waitOver());
     BOOST_TEST(!stream->isWhole());
     BOOST_TEST(!stream->answer().isDone());
@@ -224,5 +227,5 @@
     BOOST_TEST(error[QLatin1String("ran")].toString().toStdString() == "yes");
     BOOST_TEST(stream->answer().idsAreConsecutive());
     BOOST_CHECK(checkAnswer(prompt, stream->answer().texts()) == AnswerFault::None);
-    BOOST_TEST(engineOf(fleet, prompt) == -1); // the other engine never saw it
+    BOOST_TEST(engineOf(fleet, prompt) == -1); // the other engine never received it
 }
