--- a/test/failure/AttachMessagesLost.cpp
+++ b/test/failure/AttachMessagesLost.cpp
@@ -1,4 +1,5 @@
-// A follower of another daemon's run, when messages are lost, doubled, or come of a stranger.
+// Tests a follower of another daemon's run when messages are lost or duplicated, or come from a VM
+// that does not hold the key.
 #define BOOST_TEST_MODULE AttachMessagesLost
 #include <boost/test/unit_test.hpp>
 
@@ -19,10 +20,10 @@
 
 using State = AttachDataMessage::State;
 
-constexpr Milliseconds LongerThanAnAsk{750};
+constexpr Milliseconds PastRequestTimeout{750};
 const VmId Holder(QStringLiteral("vm0"));
 
-/// Keeps what is asked; the test answers in the holder's place.
+/// Records the requests; the test answers in the holder's place.
 class ScriptedPeers final : public PeerNetwork
 {
 public:
@@ -31,7 +32,7 @@
         BOOST_TEST(vm.text().toStdString() == Holder.text().toStdString());
         const auto message = attachRequestFrom(body);
         BOOST_REQUIRE(message.has_value());
-        (message->done ? done : asks).append(*message);
+        (message->done ? done : requests).append(*message);
         return true;
     }
     void subscribe(PeerMessageKind, Handler handler) override { m_handler = std::move(handler); }
@@ -40,7 +41,7 @@
         m_handler(from, toCbor(message));
     }
 
-    QList<AttachRequestMessage> asks;
+    QList<AttachRequestMessage> requests;
     QList<AttachRequestMessage> done;
 
 private:
@@ -71,12 +72,12 @@
         request.id = RequestId(QStringLiteral("second"));
         request.claimKey = "key";
         request.deadline = timers.now() + std::chrono::hours(1);
-        ClaimDecision held;
-        held.kind = ClaimDecision::Kind::Held;
-        held.holder = Holder;
-        held.holderAttempt = AttemptId(QStringLiteral("claimed"));
-        attached.follow(held, request, sink);
-        BOOST_REQUIRE(peers.asks.size() == 1);
+        ClaimDecision heldClaim;
+        heldClaim.kind = ClaimDecision::Kind::Held;
+        heldClaim.holder = Holder;
+        heldClaim.holderAttempt = AttemptId(QStringLiteral("claimed"));
+        attachClient.follow(heldClaim, request, sink);
+        BOOST_REQUIRE(peers.requests.size() == 1);
     }
 
     AttachDataMessage data(qint64 from, qint64 until, State state) const
@@ -92,7 +93,7 @@
 
     ManualTimers timers;
     ScriptedPeers peers;
-    AttachClient attached{peers, timers};
+    AttachClient attachClient{peers, timers};
     GenerationRequest request;
     std::shared_ptr<RecordingSink> sink = std::make_shared<RecordingSink>();
 };
@@ -103,14 +104,14 @@
 
 BOOST_FIXTURE_TEST_CASE(DoubledAnswersAreTakenOnce, Fixture)
 {
-    // A caller reads a line twice, and the two daemons ask each other ever faster: an ask was
-    // repeated because its answer came late, and both answers were taken.
-    timers.advance(LongerThanAnAsk);
-    BOOST_TEST(peers.asks.size() == 2);
+    // Guards against duplicated events and ever more frequent requests between two daemons: a
+    // request was repeated because its answer came late, and both answers were processed.
+    timers.advance(PastRequestTimeout);
+    BOOST_TEST(peers.requests.size() == 2);
     peers.answer(Holder, data(0, 2, State::Running));
     peers.answer(Holder, data(0, 2, State::Running));
-    BOOST_TEST(peers.asks.size() == 3);
-    BOOST_TEST(peers.asks.last().from == 2);
+    BOOST_TEST(peers.requests.size() == 3);
+    BOOST_TEST(peers.requests.last().from == 2);
     peers.answer(Holder, data(2, 4, State::Complete));
     BOOST_TEST(sink->isWhole);
     BOOST_TEST(sink->indexes == FirstFour, boost::test_tools::per_element());
@@ -120,9 +121,9 @@
 BOOST_FIXTURE_TEST_CASE(LostAnswerIsAskedForAgain, Fixture)
 {
     peers.answer(Holder, data(0, 2, State::Running));
-    timers.advance(LongerThanAnAsk);
-    BOOST_REQUIRE(peers.asks.size() == 3);
-    BOOST_TEST(peers.asks.last().from == 2);
+    timers.advance(PastRequestTimeout);
+    BOOST_REQUIRE(peers.requests.size() == 3);
+    BOOST_TEST(peers.requests.last().from == 2);
     peers.answer(Holder, data(2, 4, State::Complete));
     BOOST_TEST(sink->isWhole);
     BOOST_TEST(sink->indexes == FirstFour, boost::test_tools::per_element());
@@ -130,13 +131,14 @@
 
 BOOST_FIXTURE_TEST_CASE(HolderThatNeverAnswersLeavesTheOutcomeUnknown, Fixture)
 {
-    // Told "not run", the caller would send a recap that may already be out.
+    // Guards against a false "not run", after which the caller would send a request again that may
+    // already have run.
     for (int i = 0; i < 3; ++i)
-        timers.advance(LongerThanAnAsk);
+        timers.advance(PastRequestTimeout);
     BOOST_REQUIRE(sink->failure.has_value());
     BOOST_CHECK(sink->failure->kind == ErrorKind::OutcomeUnknown);
     BOOST_CHECK(sink->failure->ran == Ran::Maybe);
-    BOOST_TEST(attached.running() == 0);
+    BOOST_TEST(attachClient.running() == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(HolderThatWasStartedAnewKnowsNothing, Fixture)
@@ -160,7 +162,7 @@
 
 BOOST_FIXTURE_TEST_CASE(EventsThatAreNotNextAreNeverDelivered, Fixture)
 {
-    // A gap, or an answer of a VM that does not hold the key, must not reach the caller.
+    // A gap, or an answer from a VM that does not hold the key, must not reach the caller.
     peers.answer(VmId(QStringLiteral("vm2")), data(0, 2, State::Running));
     BOOST_TEST(sink->indexes.empty());
     AttachDataMessage gap = data(1, 3, State::Running);
--- a/test/failure/ClaimsThroughOutages.cpp
+++ b/test/failure/ClaimsThroughOutages.cpp
@@ -1,8 +1,8 @@
-// A doubled recap sends conflicting terms: its caller sent it twice, to two entry daemons, just
-// as the platform's service lost an answer, was slow or went down. If a daemon takes a lost
-// answer for a lost claim, or a claim it cannot see for a free key, both daemons send. So with
-// the service as a process of its own, each key may be won once, and a refusal may be followed
-// by a later win only under another attempt.
+// Guards against a request that runs twice: its caller sends it to two entry daemons while the
+// platform's store loses an answer, is slow or is down. If a daemon takes a lost answer for a lost
+// claim, or a claim it cannot see for a free key, both daemons run the request. With the store as a
+// process of its own, each key may be won once, and a refusal may be followed by a later win only
+// under another attempt.
 #define BOOST_TEST_MODULE ClaimsThroughOutages
 #include <boost/test/unit_test.hpp>
 
@@ -25,16 +25,16 @@
 
 constexpr Milliseconds CallTimeout{300};
 
-QByteArray keyNumber(int number)
+QByteArray keyOf(int number)
 {
     return QCryptographicHash::hash(QByteArray::number(number), QCryptographicHash::Sha256);
 }
 
-/// Another key of the same shard.
-int neighbourOf(int number)
+/// Returns the number of another key in the same shard.
+int otherKeyInShard(int number)
 {
     int other = number + 1;
-    while (shardOfClaim(keyNumber(other)) != shardOfClaim(keyNumber(number)))
+    while (shardOfClaim(keyOf(other)) != shardOfClaim(keyOf(number)))
         ++other;
     return other;
 }
@@ -47,7 +47,7 @@
     return settings;
 }
 
-/// The claims of one entry daemon that reaches no other.
+/// The claims of one entry daemon that is connected to no other.
 struct EntryDaemon {
     EntryDaemon(const test::StandinProcess &platform, TimerService &timers, const char *vm)
         : store(timers, platform.endpoint(), CallTimeout)
@@ -68,7 +68,7 @@
     Decision claim(EntryDaemon &daemon, int key, const char *attempt)
     {
         std::optional<Decision> decision;
-        daemon.claims.claim(keyNumber(key), "fingerprint", AttemptId(attempt),
+        daemon.claims.claim(keyOf(key), "fingerprint", AttemptId(attempt),
                             [&](const Decision &answer) { decision = answer; });
         BOOST_REQUIRE(test::waitFor([&] { return decision.has_value(); }));
         return *decision;
@@ -112,17 +112,18 @@
 
 BOOST_FIXTURE_TEST_CASE(ClaimThatWasRefusedButStandsIsReleasedWhenTheServiceIsBack, Fixture)
 {
-    // The write arrives after its daemon gave up. The key must come free again, as the caller
-    // was told that the request did not run and sends it once more.
-    BOOST_REQUIRE(isWon(claim(first, neighbourOf(1), "a0"))); // so that it knows the head
+    // The write arrives after its daemon gave up. The key must become free again, as the caller was
+    // told that the request did not run and sends it once more.
+    // A claim of another key makes the daemon read the head of the shard.
+    BOOST_REQUIRE(isWon(claim(first, otherKeyInShard(1), "a0")));
     platform.setFaults({{"delay_ms", 3 * int(CallTimeout.count())}});
     const Decision refused = claim(first, 1, "a1");
     platform.setFaults({{"delay_ms", 0}});
     BOOST_REQUIRE(!refused);
     BOOST_CHECK(refused.error().ran == Ran::No);
-    int tries = 0;
+    int attempts = 0;
     BOOST_CHECK(test::waitFor([&] {
-        const QByteArray attempt = "b" + QByteArray::number(++tries);
+        const QByteArray attempt = "b" + QByteArray::number(++attempts);
         return isWon(claim(second, 1, attempt.constData()));
     }));
 }
@@ -131,10 +132,10 @@
 {
     BOOST_REQUIRE(isWon(claim(first, 1, "a1")));
     BOOST_CHECK(!isWon(claim(second, 1, "a2")));
-    first.claims.release(keyNumber(1), AttemptId("a1"));
-    int tries = 2;
+    first.claims.release(keyOf(1), AttemptId("a1"));
+    int attempts = 2;
     BOOST_CHECK(test::waitFor([&] {
-        const QByteArray attempt = "a" + QByteArray::number(++tries);
+        const QByteArray attempt = "a" + QByteArray::number(++attempts);
         return isWon(claim(second, 1, attempt.constData()));
     }));
 }
@@ -144,17 +145,16 @@
     constexpr int Claims = 600; // several sealed segments a shard
     int won = 0;
     for (int key = 0; key < Claims; ++key) {
-        first.claims.claim(keyNumber(key), "f", AttemptId("a" + QString::number(key)),
+        first.claims.claim(keyOf(key), "f", AttemptId("a" + QString::number(key)),
                            [&](const Decision &decision) { won += isWon(decision); });
     }
     BOOST_REQUIRE(test::waitFor([&] { return won == Claims; }));
     int held = 0;
     for (int key = 0; key < Claims; ++key) {
-        second.claims.claim(keyNumber(key), "f", AttemptId("b" + QString::number(key)),
-                            [&](const Decision &decision) {
-                                held +=
-                                    decision && decision.value().kind == ClaimDecision::Kind::Held;
-                            });
+        second.claims.claim(
+            keyOf(key), "f", AttemptId("b" + QString::number(key)), [&](const Decision &decision) {
+                held += decision && decision.value().kind == ClaimDecision::Kind::Held;
+            });
     }
     BOOST_CHECK(test::waitFor([&] { return held == Claims; }));
 }
@@ -166,8 +166,8 @@
     std::vector<int> won(Pairs);
     int decided = 0;
     int refused = 0;
-    const auto start = [&](EntryDaemon &daemon, int key, const QString &attempt) {
-        daemon.claims.claim(keyNumber(key), "f", AttemptId(attempt),
+    const auto startClaim = [&](EntryDaemon &daemon, int key, const QString &attempt) {
+        daemon.claims.claim(keyOf(key), "f", AttemptId(attempt),
                             [&, key](const Decision &decision) {
                                 ++decided;
                                 refused += !decision;
@@ -175,8 +175,8 @@
                             });
     };
     for (int key = 0; key < Pairs; ++key) {
-        start(first, key, "a" + QString::number(key));
-        start(second, key, "b" + QString::number(key));
+        startClaim(first, key, "a" + QString::number(key));
+        startClaim(second, key, "b" + QString::number(key));
     }
     BOOST_REQUIRE(test::waitFor([&] { return decided == 2 * Pairs; }));
     BOOST_TEST_MESSAGE(refused << " refused");
--- a/test/failure/ConfigurationAcceptance.cpp
+++ b/test/failure/ConfigurationAcceptance.cpp
@@ -1,4 +1,4 @@
-// Acceptance of changes while the platform, or the daemon itself, fails.
+// Tests the acceptance of configuration changes while the platform, or the daemon itself, fails.
 #define BOOST_TEST_MODULE ConfigurationAcceptance
 #include <boost/test/unit_test.hpp>
 
@@ -34,9 +34,9 @@
 
 BOOST_FIXTURE_TEST_CASE(LostAnswerOfAWriteThatTookEffectIsAnAcceptance, Fixture)
 {
-    // An operator would be told that her change failed, send it again and see a conflict with
-    // herself. The write takes effect, the answer is lost; the daemon reads the key again and
-    // finds its own change id.
+    // Guards against a change that is reported as failed although it was accepted, so that the
+    // operator sends it again and gets a conflict with herself. The write takes effect and its
+    // answer is lost; the daemon reads the key again and finds its own change id.
     a.platform.loseAnswers = 1;
     const SubmitResult result = a.submit(0, smallDocument(7));
     BOOST_CHECK(result.outcome == SubmitOutcome::Accepted);
@@ -47,8 +47,9 @@
 
 BOOST_FIXTURE_TEST_CASE(LostRequestIsSentAgainUnderTheSameId, Fixture)
 {
-    // An operator would wait for a change that nobody holds. The request is lost before the
-    // platform sees it; the key is absent on the re-read, so the same change is sent again.
+    // Guards against a change that is lost while its operator waits for it. The request is lost
+    // before the platform receives it; a further read finds no key, so the same change is sent
+    // again.
     a.platform.loseRequests = 2;
     BOOST_CHECK(a.submit(0, smallDocument(7)).outcome == SubmitOutcome::Accepted);
     BOOST_REQUIRE(b.load());
@@ -57,8 +58,8 @@
 
 BOOST_FIXTURE_TEST_CASE(LostRequestThatAnotherOvertookIsAConflict, Fixture)
 {
-    // Two operators would both be told "accepted" for version 1. A's request is lost; while A
-    // settles it, B creates the key. A finds B's change id and reports the conflict.
+    // Guards against two acceptances of version 1. A's request is lost; while A determines the
+    // outcome, B creates the key. A finds B's change id and reports the conflict.
     a.platform.loseRequests = 1;
     a.platform.beforeNextWrite = [this] {
         b.store.submit(ConfigurationVersion(0), smallDocument(8), [](const SubmitResult &) {});
@@ -71,8 +72,8 @@
 
 BOOST_FIXTURE_TEST_CASE(OutageRefusesTheChangeAndKeepsTheVersion, Fixture)
 {
-    // An operator must not be told "accepted" for a change that nobody can learn of. The
-    // platform is down when she submits; the daemon goes on with what it has.
+    // Guards against the acceptance of a change that no other daemon can read. The platform is down
+    // when the operator submits it; the daemon keeps its version.
     BOOST_REQUIRE(a.submitMany(1));
     a.platform.isDown = true;
     BOOST_CHECK(a.submit(1, smallDocument(7)).outcome == SubmitOutcome::PlatformUnavailable);
@@ -84,8 +85,9 @@
 
 BOOST_AUTO_TEST_CASE(OutageRightAfterALostAnswerIsUnsettled)
 {
-    // An operator must not be told "not accepted" for a change that everybody will follow. The
-    // write takes effect, the answer is lost and the platform goes down before the re-read.
+    // Guards against a change that is reported as not accepted although every daemon will apply it.
+    // The write takes effect, its answer is lost, and the platform goes down before the further
+    // read.
     test::ensureApplication();
     test::ManualTimers timers;
     const auto table = std::make_shared<test::MemoryKeyValueTable>();
@@ -109,13 +111,13 @@
 
 BOOST_FIXTURE_TEST_CASE(ChangeOfADaemonBehindTheTrimIsNotAccepted, Fixture)
 {
-    // Two daemons would follow two documents of the same version. B is paused at version 1
-    // while the fleet goes on and trims the change to version 2; its operator's change then
-    // creates that key without a conflict. The base record covers version 2, so it is refused,
-    // and no reader follows the key.
+    // Guards against two documents of the same version. B is paused at version 1 while the fleet
+    // continues and trims the change to version 2; B's operator then creates that key without a
+    // conflict. The base record covers version 2, so the change is refused, and no reader applies
+    // the key.
     BOOST_REQUIRE(a.submitMany(1));
     BOOST_REQUIRE(b.load());
-    // The second snapshot trims the changes up to the first, in their order.
+    // The second snapshot trims the changes up to the first one, in ascending order.
     BOOST_REQUIRE(a.submitMany(int(2 * SnapshotInterval) - 1));
     BOOST_REQUIRE(test::waitFor([&] {
         return !table->entries.contains(changeKey(ConfigurationVersion(SnapshotInterval)));
@@ -125,39 +127,39 @@
     BOOST_TEST(table->entries.contains(changeKey(ConfigurationVersion(2))));
     BOOST_TEST(result.version.value() == a.store.version().value());
     BOOST_CHECK(b.store.document() == a.store.document());
-    ConfigurationDaemon late(table, timers);
-    BOOST_REQUIRE(late.load());
-    BOOST_CHECK(late.store.document() == a.store.document());
+    ConfigurationDaemon lateDaemon(table, timers);
+    BOOST_REQUIRE(lateDaemon.load());
+    BOOST_CHECK(lateDaemon.store.document() == a.store.document());
 }
 
 BOOST_FIXTURE_TEST_CASE(SnapshotThatIsReplacedWhileItIsReadIsReadAnew, Fixture)
 {
-    // A daemon that starts would stay without a configuration. It has read the base record when
-    // a newer snapshot takes the place of that one and its parts are removed.
+    // Guards against a starting daemon without a configuration. It has read the base record when a
+    // newer snapshot replaces that one and its parts are removed.
     BOOST_REQUIRE(a.submitMany(int(2 * SnapshotInterval)));
     BOOST_REQUIRE(test::waitFor([&] {
         return !table->entries.contains(changeKey(ConfigurationVersion(SnapshotInterval)));
     }));
-    ConfigurationDaemon late(table, timers);
-    bool loaded = false;
-    late.platform.holdReads(SnapshotPrefix);
-    late.store.load(
-        [&](const Result<ConfigurationVersion> &result) { loaded = result.has_value(); });
-    BOOST_REQUIRE(test::waitFor([&] { return late.platform.isHolding(); }));
+    ConfigurationDaemon lateDaemon(table, timers);
+    bool isLoaded = false;
+    lateDaemon.platform.holdReads(SnapshotPrefix);
+    lateDaemon.store.load(
+        [&](const Result<ConfigurationVersion> &result) { isLoaded = result.has_value(); });
+    BOOST_REQUIRE(test::waitFor([&] { return lateDaemon.platform.isHolding(); }));
     BOOST_REQUIRE(a.submitMany(int(SnapshotInterval) + 1));
     BOOST_REQUIRE(test::waitFor([&] {
         return !table->entries.contains(changeKey(ConfigurationVersion(SnapshotInterval + 1)));
     }));
-    late.platform.resume();
-    BOOST_REQUIRE(test::waitFor([&] { return loaded; }));
-    BOOST_CHECK(late.store.document() == a.store.document());
+    lateDaemon.platform.resume();
+    BOOST_REQUIRE(test::waitFor([&] { return isLoaded; }));
+    BOOST_CHECK(lateDaemon.store.document() == a.store.document());
 }
 
 BOOST_FIXTURE_TEST_CASE(TwentyRacingOperatorsLoseNoChangeAndShareNoVersion, Fixture)
 {
-    // An operator's accepted change would vanish under another's. Twenty operators submit at
-    // the same moment, over two daemons, each adding a workspace of her own, and try again on
-    // a conflict until all are in.
+    // Guards against an accepted change that another one overwrites. Twenty operators submit at the
+    // same time through two daemons, each adding a workspace, and retry on a conflict until all
+    // changes are accepted.
     constexpr int Operators = 20;
     QList<qint64> accepted;
     int conflicts = 0;
@@ -194,12 +196,13 @@
 
 BOOST_FIXTURE_TEST_CASE(DaemonThatCannotReadAVersionKeepsTheLastOneInForce, Fixture)
 {
-    // During an upgrade an old daemon would stop serving. A newer build accepts a member that
-    // this one does not know; it keeps what it has, says so, and follows later versions.
+    // Guards against an old daemon that stops serving during an upgrade. A newer build accepts a
+    // member that this one does not know; it keeps its document, reports the fault, and applies
+    // later versions.
     BOOST_REQUIRE(a.submitMany(1));
-    const ConfigurationChange newer{
+    const ConfigurationChange unreadableChange{
         ConfigurationVersion(2), ChangeId("x"), {{"novel", QJsonObject()}}};
-    a.store.applyChanges({newer});
+    a.store.applyChanges({unreadableChange});
     BOOST_REQUIRE(test::waitFor([&] { return a.store.version().value() == 2; }));
     BOOST_TEST(a.store.current()->version.value() == 1);
     BOOST_TEST(!a.store.fault().isEmpty());
--- a/test/failure/ConfigurationOutages.cpp
+++ b/test/failure/ConfigurationOutages.cpp
@@ -1,4 +1,4 @@
-// The spread of changes while the platform or links between daemons are down.
+// Tests how configuration changes spread while the platform or links between daemons are down.
 #define BOOST_TEST_MODULE ConfigurationOutages
 #include <boost/test/unit_test.hpp>
 
@@ -15,15 +15,16 @@
 struct Fixture {
     Fixture() { test::ensureApplication(); }
 
-    static bool reaches(SpreadFleet &fleet, SpreadDaemon &one, qint64 version)
+    static bool awaitVersion(SpreadFleet &fleet, SpreadDaemon &spreadDaemon, qint64 version)
     {
         return test::waitFor([&] {
             fleet.tellVersions();
-            return one.daemon.store.version().value() == version;
+            return spreadDaemon.daemon.store.version().value() == version;
         });
     }
 
-    /// What a daemon paused since version 0 leaves when it submits after the trim.
+    /// Writes the change that a daemon paused since version 0 leaves when it submits after the
+    /// trim.
     static void putOrphan(SpreadFleet &fleet)
     {
         const ConfigurationVersion first(1);
@@ -40,20 +41,21 @@
 
 BOOST_FIXTURE_TEST_CASE(DaemonStartedInAnOutageTakesTheVersionOfItsPeers, Fixture)
 {
-    // A VM that replaces another during an outage would refuse every caller. It cannot read
-    // the platform; it hears a version by heartbeat, pulls the document and is ready.
+    // Guards against a replacement VM that refuses every caller during an outage. It cannot read
+    // the platform; it learns of a version from a heartbeat, fetches the document and becomes
+    // ready.
     SpreadFleet fleet(3, 1, timers);
     fleet[2].daemon.platform.isDown = true;
-    fleet[2].peers.isCut = true; // it is not there yet
+    fleet[2].peers.isCut = true; // has not joined yet
     fleet[0].spread.start();
     fleet[1].spread.start();
-    BOOST_REQUIRE(reaches(fleet, fleet[0], 0));
+    BOOST_REQUIRE(awaitVersion(fleet, fleet[0], 0));
     BOOST_REQUIRE(fleet[0].daemon.submitMany(3));
     fleet[2].spread.start();
     BOOST_REQUIRE(test::waitFor([&] { return !fleet[2].spread.isPlatformReachable(); }));
     BOOST_TEST(fleet[2].daemon.store.current() == nullptr);
     fleet[2].peers.isCut = false;
-    BOOST_REQUIRE(reaches(fleet, fleet[2], 3));
+    BOOST_REQUIRE(awaitVersion(fleet, fleet[2], 3));
     BOOST_TEST(fleet[2].daemon.store.current() != nullptr);
     BOOST_TEST(!fleet[2].spread.isPlatformReachable());
     fleet[2].daemon.platform.isDown = false;
@@ -62,25 +64,26 @@
 
 BOOST_FIXTURE_TEST_CASE(DaemonWhosePeersDoNotAnswerFallsBackOnThePlatform, Fixture)
 {
-    // A daemon would keep an old version while it hears of newer ones. Its pulls get no answer,
-    // as over a link that stalls; after a while it reads the platform itself.
+    // Guards against a daemon that keeps an old version although it is notified of newer ones. Its
+    // requests to peers get no answer, as over a link that stalls; after a timeout it reads the
+    // platform itself.
     SpreadFleet fleet(5, 1, timers);
     BOOST_REQUIRE(fleet.start());
-    int behind = 0;
-    while (fleet[behind].spread.isWatching())
-        ++behind;
-    SpreadDaemon &cut = fleet[behind];
-    cut.peers.isCut = true;
-    SpreadDaemon &other = fleet[behind == 0 ? 1 : 0];
+    int isolatedIndex = 0;
+    while (fleet[isolatedIndex].spread.isWatching())
+        ++isolatedIndex;
+    SpreadDaemon &isolated = fleet[isolatedIndex];
+    isolated.peers.isCut = true;
+    SpreadDaemon &other = fleet[isolatedIndex == 0 ? 1 : 0];
     BOOST_REQUIRE(other.daemon.submitMany(2));
-    cut.spread.versionHeard(other.members.selfId, ConfigurationVersion(2));
-    BOOST_REQUIRE(test::waitFor([&] { return cut.daemon.store.version().value() == 2; }));
+    isolated.spread.versionHeard(other.members.selfId, ConfigurationVersion(2));
+    BOOST_REQUIRE(test::waitFor([&] { return isolated.daemon.store.version().value() == 2; }));
 }
 
 BOOST_FIXTURE_TEST_CASE(WatchersComeBackAfterAnOutageAndMissNothing, Fixture)
 {
-    // After an outage daemons would follow no change any more. All watches fail and are taken
-    // up again, after the revision that was last seen; no peer helps.
+    // Guards against watches that are not reopened after an outage. All watches fail and are
+    // reopened after the last revision seen; no peer helps.
     SpreadFleet fleet(4, 2, timers);
     BOOST_REQUIRE(fleet.start());
     BOOST_REQUIRE(fleet[0].daemon.submitMany(1));
@@ -101,15 +104,15 @@
 
 BOOST_FIXTURE_TEST_CASE(WatcherFarBehindTheTrimCatchesUpFromTheSnapshot, Fixture)
 {
-    // A daemon that was paused through many changes would wait for ever for one that is gone,
-    // or follow the key that another daemon, paused as long, created in its place. Its watch
-    // shows that key and the base record, which covers it; it reads the snapshot.
+    // Guards against a daemon that was paused through many changes and then waits for ever for a
+    // trimmed one, or applies the key that another daemon, paused as long, created in its place.
+    // Its watch reports that key and the base record, which covers it; it reads the snapshot.
     SpreadFleet fleet(2, 1, timers);
     BOOST_REQUIRE(fleet.start());
     fleet[1].daemon.platform.isDown = true;
     fleet[1].daemon.platform.failWatches();
     fleet[1].peers.isCut = true;
-    // The second snapshot trims the changes up to the first, in their order.
+    // The second snapshot trims the changes up to the first one, in ascending order.
     BOOST_REQUIRE(fleet[0].daemon.submitMany(int(2 * SnapshotInterval)));
     BOOST_REQUIRE(test::waitFor([&] {
         return !fleet.table->entries.contains(changeKey(ConfigurationVersion(SnapshotInterval)));
