--- a/test/failure/ConfigurationProcesses.cpp
+++ b/test/failure/ConfigurationProcesses.cpp
@@ -1,4 +1,4 @@
-// Changes of the configuration in a fleet of processes, with races, outages and pauses.
+// Tests configuration changes in a fleet of processes, with races, outages and pauses.
 #define BOOST_TEST_MODULE ConfigurationProcesses
 #include <boost/test/unit_test.hpp>
 
@@ -33,8 +33,8 @@
             .json;
     }
 
-    /// The first document with a limit that tells the versions apart.
-    QJsonObject documentWithQueue(int limit) const
+    /// The initial document with a queue limit that identifies the version.
+    QJsonObject documentWithQueueLimit(int limit) const
     {
         QJsonObject document = fleet->document();
         QJsonObject services = document["services"].toObject();
@@ -54,7 +54,7 @@
     std::optional<Fleet> fleet;
 };
 
-/// One operator who adds a workspace of her own and tries again until it is accepted.
+/// An operator that adds a workspace and retries until the change is accepted.
 class RacingOperator
 {
 public:
@@ -132,9 +132,9 @@
 
 BOOST_FIXTURE_TEST_CASE(TwentyRacingOperatorsEachGetAVersionOfTheirOwn, Fixture)
 {
-    // An operator's accepted change would vanish under another's. Twenty operators read, add a
-    // workspace of their own and submit at the same moment, over three daemons; whoever loses
-    // is told 412 and starts again from the version that won.
+    // Guards against an accepted change that another one overwrites. Twenty operators read, add a
+    // workspace and submit at the same time through three daemons; one whose change conflicts gets
+    // status 412 and starts again from the version in force.
     constexpr int Operators = 20;
     std::vector<std::unique_ptr<RacingOperator>> operators;
     operators.reserve(Operators);
@@ -142,14 +142,14 @@
         operators.push_back(std::make_unique<RacingOperator>(*fleet, i));
     BOOST_REQUIRE(waitFor([&] {
         return std::all_of(operators.begin(), operators.end(),
-                           [](const auto &one) { return one->isDone(); });
+                           [](const auto &racingOperator) { return racingOperator->isDone(); });
     }));
     QSet<qint64> versions;
     int conflicts = 0;
-    for (const auto &one : operators) {
-        BOOST_TEST(one->unexpected().toStdString() == "");
-        versions.insert(one->accepted());
-        conflicts += one->conflicts();
+    for (const auto &racingOperator : operators) {
+        BOOST_TEST(racingOperator->unexpected().toStdString() == "");
+        versions.insert(racingOperator->accepted());
+        conflicts += racingOperator->conflicts();
     }
     BOOST_TEST(versions.size() == Operators);
     BOOST_TEST(conflicts > 0);
@@ -164,12 +164,12 @@
 
 BOOST_FIXTURE_TEST_CASE(LostAnswerOfTheAcceptanceIsSettledAsAccepted, Fixture)
 {
-    // An operator would be told "failed" for a change that is in force. The platform creates
-    // the key and does not answer; the daemon reads the key and finds its own change.
+    // Guards against a change that is reported as failed although it is in force. The platform
+    // creates the key and does not answer; the daemon reads the key and finds its own change.
     BOOST_REQUIRE(
         fleet->setFaults(fleet->platformEndpoint(),
                          {{"lose_answers", 1}, {"lose_answers_under", "configuration/change/"}}));
-    const FleetAnswer answer = fleet->putDocument(0, documentWithQueue(11), 1);
+    const FleetAnswer answer = fleet->putDocument(0, documentWithQueueLimit(11), 1);
     BOOST_TEST(answer.is(200), answer.response.body.toStdString());
     BOOST_TEST(answer.json["version"].toInteger() == 2);
     BOOST_REQUIRE(fleet->waitForVersion(2));
@@ -177,25 +177,26 @@
 
 BOOST_FIXTURE_TEST_CASE(OutageRefusesChangesCutsNobodyOffAndIsOverAfterwards, Fixture)
 {
-    // Callers would be cut off, or a change be in force in one daemon only. The platform goes
-    // down under a stream and an operator submits; she is not told "accepted", the stream and
-    // new requests are served, and after the outage changes reach everyone again.
+    // Guards against callers that are cut off, and against a change that is in force in one daemon
+    // only. The platform goes down while a stream runs and an operator submits a change; it is not
+    // reported as accepted, the stream and new requests are served, and after the outage changes
+    // reach every daemon again.
     const auto stream = fleet->complete(0, "before the outage", 200, fleet->caller());
     BOOST_REQUIRE(stream->waitForTokens(1));
     BOOST_REQUIRE(fleet->setFaults(fleet->platformEndpoint(), {{"down", true}}));
-    const FleetAnswer refused = fleet->putDocument(0, documentWithQueue(11), 1);
+    const FleetAnswer refused = fleet->putDocument(0, documentWithQueueLimit(11), 1);
     BOOST_TEST((refused.is(503) || refused.is(409)), refused.response.status);
     BOOST_TEST(refused.json["ran"].toString().toStdString() != "yes");
-    const auto during = fleet->complete(1, "during the outage", 5, fleet->caller());
-    BOOST_REQUIRE(during->waitOver());
-    BOOST_TEST(during->isWhole());
+    const auto streamDuringOutage = fleet->complete(1, "during the outage", 5, fleet->caller());
+    BOOST_REQUIRE(streamDuringOutage->waitOver());
+    BOOST_TEST(streamDuringOutage->isWhole());
     BOOST_REQUIRE(stream->waitOver());
     BOOST_TEST(stream->isWhole());
     BOOST_REQUIRE(fleet->setFaults(fleet->platformEndpoint(), {{"down", false}}));
     qint64 version = -1;
     BOOST_REQUIRE(waitFor([&] {
         version = fleet->versionOf(1);
-        return fleet->putDocument(1, documentWithQueue(12), version).is(200);
+        return fleet->putDocument(1, documentWithQueueLimit(12), version).is(200);
     }));
     BOOST_REQUIRE(fleet->waitForVersion(version + 1));
     BOOST_TEST(queueLimitOf(present(2)) == 12);
@@ -203,12 +204,12 @@
 
 BOOST_FIXTURE_TEST_CASE(DaemonPausedThroughTenChangesCatchesUpAndNeverGoesBack, Fixture)
 {
-    // A caller of a daemon that was paused would be served by a removed target's rules for
-    // long, or see an old version again after a new one. A daemon is stopped, ten changes are
-    // accepted, it runs on; every version that is read from it is at least the one before.
+    // Guards against a paused daemon that serves by a removed target's rules for long, or returns
+    // to an old version after a new one. A daemon is paused, ten changes are accepted, and it
+    // resumes; every version read from it is at least the one before.
     fleet->daemon(2).pause();
     for (int i = 0; i < 10; ++i)
-        BOOST_REQUIRE(fleet->putDocument(0, documentWithQueue(20 + i), 1 + i).is(200));
+        BOOST_REQUIRE(fleet->putDocument(0, documentWithQueueLimit(20 + i), 1 + i).is(200));
     fleet->daemon(2).resume();
     QList<qint64> read;
     BOOST_REQUIRE(waitFor([&] {
@@ -221,16 +222,16 @@
 
 BOOST_FIXTURE_TEST_CASE(DaemonThatStartsWhileChangesGoOnHasTheNewestVersion, Fixture)
 {
-    // A VM that replaces another would serve an old document. Seventy changes, over a snapshot
+    // Guards against a replacement VM that serves an old document. Seventy changes, over a snapshot
     // and its trim, are accepted while it starts; it reaches the last one.
     for (int i = 0; i < 70; ++i)
         BOOST_REQUIRE(fleet
-                          ->putDocument(i % 2, documentWithQueue(100 + i),
+                          ->putDocument(i % 2, documentWithQueueLimit(100 + i),
                                         std::max(fleet->versionOf(i % 2), qint64(1 + i)))
                           .is(200));
-    const int late = fleet->addDaemon();
-    BOOST_REQUIRE(late >= 0);
+    const int lateDaemon = fleet->addDaemon();
+    BOOST_REQUIRE(lateDaemon >= 0);
     BOOST_REQUIRE(fleet->publishVms());
     BOOST_REQUIRE(fleet->waitForVersion(71));
-    BOOST_CHECK(present(late) == present(0));
+    BOOST_CHECK(present(lateDaemon) == present(0));
 }
--- a/test/failure/CrashReport.cpp
+++ b/test/failure/CrashReport.cpp
@@ -1,4 +1,4 @@
-// A process that crashes leaves the log lines it had buffered and its stack.
+// Tests that a process that crashes writes its buffered log lines and its stack trace.
 #define BOOST_TEST_MODULE CrashReport
 #include <boost/test/unit_test.hpp>
 
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr int ExitNotCrashed = 1;
+constexpr int ExitWithoutCrash = 1;
 
 struct CrashedProcess {
     int signal = 0;
@@ -52,20 +52,20 @@
     if (child == 0) {
         redirect(STDOUT_FILENO, output);
         redirect(STDERR_FILENO, errors);
-        // Boost.Test reports signals in its own way.
+        // Boost.Test installs its own handler of this signal.
         std::signal(SIGSEGV, SIG_DFL);
         installCrashReport();
         const LogSink sink;
         logEvent(LogLevel::Info, EventId::DaemonReady, {{"vm", QStringLiteral("last-words")}});
         crash();
-        ::_exit(ExitNotCrashed);
+        ::_exit(ExitWithoutCrash);
     }
     int status = 0;
     BOOST_REQUIRE(::waitpid(child, &status, 0) == child);
     return {WIFSIGNALED(status) ? WTERMSIG(status) : 0, contentOf(output), contentOf(errors)};
 }
 
-/// Volatile, so that the compiler foresees neither crash.
+/// Volatile, so that the compiler predicts neither crash.
 volatile int *volatile invalidAddress = nullptr;
 volatile int depthLimit = std::numeric_limits<int>::max();
 
@@ -76,9 +76,9 @@
 
 [[gnu::noinline]] int overflowStack(int depth)
 {
-    volatile char part[4096] = {};
-    part[0] = char(depth);
-    return depth == depthLimit ? 0 : overflowStack(depth + 1) + part[0];
+    volatile char frameBlock[4096] = {};
+    frameBlock[0] = char(depth);
+    return depth == depthLimit ? 0 : overflowStack(depth + 1) + frameBlock[0];
 }
 
 void overflow()
@@ -99,13 +99,14 @@
 
 } // namespace
 
-// A daemon ended with a segmentation fault and left neither its last 50 ms of log nor a stack.
+// Guards against a daemon that ends with a segmentation fault and leaves neither the last 50 ms of
+// its log nor a stack trace.
 BOOST_AUTO_TEST_CASE(InvalidAccessLeavesBufferedLinesAndStack)
 {
     checkReport(runAndCrash(accessInvalidAddress), "accessInvalidAddress");
 }
 
-// A handler on the stack that has overflowed cannot run, and nothing is reported.
+// A signal handler on the stack that has overflowed cannot run, and nothing would be reported.
 BOOST_AUTO_TEST_CASE(StackOverflowLeavesBufferedLinesAndStack)
 {
     checkReport(runAndCrash(overflow), "overflowStack");
