--- a/test/failure/DrainCutsNobody.cpp
+++ b/test/failure/DrainCutsNobody.cpp
@@ -1,4 +1,4 @@
-// A VM or an engine that shuts down in good order cuts no request, and gets no new ones.
+// Tests that a VM or an engine that shuts down gracefully cuts no request and gets no new ones.
 #define BOOST_TEST_MODULE DrainCutsNobody
 #include <boost/test/unit_test.hpp>
 
@@ -17,14 +17,15 @@
 namespace {
 
 constexpr Milliseconds SendInterval{15};
-constexpr int TokensOfEach = 60;
-constexpr int BetweenChanges = 60;
-/// The balancer notices this late that a daemon is not ready any more.
+constexpr int TokensPerAnswer = 60;
+constexpr int RequestsBetweenChanges = 60;
+/// Delay until the balancer notices that a daemon is not ready.
 constexpr Milliseconds BalancerLag{800};
-/// "After a few seconds" of the promise.
-constexpr Milliseconds LeavingBound{3000};
+/// Maximum time until a draining engine gets no new request; the guarantee says "after a few
+/// seconds".
+constexpr Milliseconds MaxDrainDelay{3000};
 
-FleetPlan planOf(int daemons, int engines)
+FleetPlan makePlan(int daemons, int engines)
 {
     FleetPlan plan;
     plan.daemons = daemons;
@@ -35,7 +36,7 @@
     return plan;
 }
 
-/// Requests that reached engine @p index: those it ran and those it refused.
+/// Returns the number of requests that reached engine @p index: those it ran and those it refused.
 int arrivals(Fleet &fleet, int index)
 {
     const QJsonObject counts = fleet.runs(fleet.engineEndpoint(index));
@@ -43,46 +44,46 @@
         + counts[QLatin1String("refused")].toInt();
 }
 
-bool waitSent(const SteadyLoad &load, int more)
+bool awaitSent(const SteadyLoad &load, int more)
 {
-    const int wanted = load.sentCount() + more;
-    return waitFor([&] { return load.sentCount() >= wanted; });
+    const int expectedCount = load.sentCount() + more;
+    return waitFor([&] { return load.sentCount() >= expectedCount; });
 }
 
-/// Time from now to the last request that reaches engine @p index, seen by asking it again and
-/// again until it has been without one for LeavingBound.
-Milliseconds lastArrivalAfter(Fleet &fleet, int index)
+/// Returns the time from now to the last request that reaches engine @p index. Polls the engine
+/// until it has been without a request for MaxDrainDelay.
+Milliseconds measureLastArrival(Fleet &fleet, int index)
 {
-    QElapsedTimer since;
-    since.start();
-    int known = arrivals(fleet, index);
+    QElapsedTimer timer;
+    timer.start();
+    int knownArrivals = arrivals(fleet, index);
     qint64 last = 0;
     waitFor([&] {
         const int count = arrivals(fleet, index);
-        if (count > known)
-            last = since.elapsed();
-        known = count;
-        return since.elapsed() - last > LeavingBound.count();
+        if (count > knownArrivals)
+            last = timer.elapsed();
+        knownArrivals = count;
+        return timer.elapsed() - last > MaxDrainDelay.count();
     });
     return Milliseconds(last);
 }
 
-Fleet &started(Fleet &fleet)
+Fleet &startFleet(Fleet &fleet)
 {
     BOOST_REQUIRE(fleet.start());
     return fleet;
 }
 
-/// A fleet under load of which an engine is to leave.
-struct Leaving {
+/// A fleet under load whose engine 0 is to drain.
+struct DrainFixture {
     Fleet fleet;
     SteadyLoad load;
 
-    explicit Leaving(const FleetPlan &plan)
+    explicit DrainFixture(const FleetPlan &plan)
         : fleet(plan)
-        , load(started(fleet), SendInterval, TokensOfEach)
+        , load(startFleet(fleet), SendInterval, TokensPerAnswer)
     {
-        BOOST_REQUIRE(waitSent(load, BetweenChanges));
+        BOOST_REQUIRE(awaitSent(load, RequestsBetweenChanges));
         BOOST_REQUIRE(waitFor([this] { return arrivals(fleet, 0) > 0; }));
     }
 
@@ -90,7 +91,7 @@
     {
         BOOST_TEST_MESSAGE("learned by " << way << ": last new request after " << last.count()
                                          << " ms");
-        BOOST_TEST(last.count() < LeavingBound.count());
+        BOOST_TEST(last.count() < MaxDrainDelay.count());
         load.stop();
         BOOST_REQUIRE(load.waitAll());
         BOOST_TEST(load.countCut() == 0);
@@ -102,14 +103,14 @@
 
 BOOST_AUTO_TEST_CASE(DaemonsShutDownInTurnWhileTheBalancerLags)
 {
-    // Each VM is replaced on an ordinary afternoon, and brokers see recaps break off or cannot
-    // connect. The balancer goes on sending to a VM for a while after it began to shut down,
-    // and streams that began before are still running.
-    Fleet fleet(planOf(3, 3));
+    // Guards against answers that break off and connections that fail while VMs are replaced one
+    // after the other. The balancer still sends to a VM for a while after its shutdown began, and
+    // streams that began before are still running.
+    Fleet fleet(makePlan(3, 3));
     BOOST_REQUIRE(fleet.start());
-    SteadyLoad load(fleet, SendInterval, TokensOfEach);
+    SteadyLoad load(fleet, SendInterval, TokensPerAnswer);
     for (int daemon = 0; daemon < fleet.daemonCount(); ++daemon) {
-        BOOST_REQUIRE(waitSent(load, BetweenChanges));
+        BOOST_REQUIRE(awaitSent(load, RequestsBetweenChanges));
         fleet.daemon(daemon).terminate();
         BOOST_REQUIRE(fleet.publishVms({daemon}));
         const auto balancer = fleet.client().timers().after(BalancerLag, [&load, daemon] {
@@ -124,7 +125,7 @@
             waitFor([&] { return fleet.client().get(fleet.gateway(daemon), "/readyz").is(200); }));
         load.setDaemons({0, 1, 2});
     }
-    BOOST_REQUIRE(waitSent(load, BetweenChanges));
+    BOOST_REQUIRE(awaitSent(load, RequestsBetweenChanges));
     load.stop();
     BOOST_REQUIRE(load.waitAll());
     BOOST_TEST(load.countCut() == 0);
@@ -133,35 +134,36 @@
 
 BOOST_AUTO_TEST_CASE(EngineSaysInItsReportThatItLeaves)
 {
-    // An engine is reclaimed while drafts run on it. New drafts that still went there would be
-    // lost with it. Its load report says that it leaves; it goes on taking what it is sent.
-    Leaving test(planOf(2, 2));
+    // Guards against new requests to an engine that is reclaimed, which would be lost with it. Its
+    // load report says that it drains; it still accepts what it is sent.
+    DrainFixture test(makePlan(2, 2));
     BOOST_REQUIRE(
         test.fleet.setFaults(test.fleet.engineEndpoint(0), {{QStringLiteral("leaving"), true}}));
-    test.checkAndReport("its own report", lastArrivalAfter(test.fleet, 0));
+    test.checkAndReport("its own report", measureLastArrival(test.fleet, 0));
 }
 
 BOOST_AUTO_TEST_CASE(EngineSaysInItsAnswerThatItLeaves)
 {
-    // The same, but the reports lag by a minute: the engine says it only where it refuses.
-    FleetPlan plan = planOf(1, 2);
+    // As above, but the load reports lag by a minute: the engine says that it drains only where it
+    // refuses a request.
+    FleetPlan plan = makePlan(1, 2);
     plan.engineFlags.append(QStringLiteral("--report_lag_ms=60000"));
-    Leaving test(plan);
+    DrainFixture test(plan);
     BOOST_REQUIRE(test.fleet.setFaults(
         test.fleet.engineEndpoint(0),
         {{QStringLiteral("leaving"), true}, {QStringLiteral("refuse"), true}}));
-    test.checkAndReport("its answer", lastArrivalAfter(test.fleet, 0));
+    test.checkAndReport("its answer", measureLastArrival(test.fleet, 0));
 }
 
 BOOST_AUTO_TEST_CASE(PeerSaysThatAnEngineLeaves)
 {
-    // The same, and only vm0 meets a refusal; vm1, to which the callers go afterwards, would
-    // send new drafts to the leaving engine if its peer did not tell.
-    FleetPlan plan = planOf(2, 2);
+    // As above, and only vm0 gets a refusal; vm1, to which the callers send afterwards, would send
+    // new requests to the draining engine if its peer did not notify it.
+    FleetPlan plan = makePlan(2, 2);
     plan.engineFlags.append(QStringLiteral("--report_lag_ms=60000"));
-    // Each daemon deals to both engines, whichever of them gives their room out.
+    // Each daemon sends to both engines, whichever of them grants its capacity.
     plan.draftsService = {{QStringLiteral("policy"), QStringLiteral("round_robin")}};
-    Leaving test(plan);
+    DrainFixture test(plan);
     BOOST_REQUIRE(waitFor([&] { return test.fleet.aliveMembers(1) == 2; }));
     test.load.setDaemons({0});
     BOOST_REQUIRE(test.fleet.setFaults(
@@ -173,24 +175,24 @@
     BOOST_REQUIRE(
         test.fleet.setFaults(test.fleet.engineEndpoint(0), {{QStringLiteral("refuse"), false}}));
     test.load.setDaemons({1});
-    test.checkAndReport("a peer's news", lastArrivalAfter(test.fleet, 0));
+    test.checkAndReport("a peer's news", measureLastArrival(test.fleet, 0));
 }
 
 BOOST_AUTO_TEST_CASE(EnginesLeaveInTurn)
 {
-    // Every engine of a service is replaced one after the other under load, as for a new
-    // version. Each finishes what it has, and is started anew once it is empty.
-    Fleet fleet(planOf(2, 3));
+    // Every engine of a service is replaced one after the other under load, as for a new version.
+    // Each finishes its requests and is restarted once it is empty.
+    Fleet fleet(makePlan(2, 3));
     BOOST_REQUIRE(fleet.start());
-    SteadyLoad load(fleet, SendInterval, TokensOfEach);
+    SteadyLoad load(fleet, SendInterval, TokensPerAnswer);
     for (int engine = 0; engine < fleet.engineCount(); ++engine) {
-        BOOST_REQUIRE(waitSent(load, BetweenChanges));
+        BOOST_REQUIRE(awaitSent(load, RequestsBetweenChanges));
         const HttpEndpoint endpoint = fleet.engineEndpoint(engine);
         BOOST_REQUIRE(fleet.setFaults(endpoint, {{QStringLiteral("leaving"), true}}));
-        const Milliseconds last = lastArrivalAfter(fleet, engine);
+        const Milliseconds last = measureLastArrival(fleet, engine);
         BOOST_TEST_MESSAGE("engine" << engine << ": last new request after " << last.count()
                                     << " ms");
-        BOOST_TEST(last.count() < LeavingBound.count());
+        BOOST_TEST(last.count() < MaxDrainDelay.count());
         BOOST_REQUIRE(waitFor([&] {
             const QJsonObject report = fleet.client().get(endpoint, "/load").json;
             return report[QLatin1String("running")].toInt(1) == 0
@@ -199,8 +201,8 @@
         fleet.engine(engine).terminate();
         BOOST_REQUIRE(fleet.engine(engine).waitEnded());
         BOOST_REQUIRE(fleet.restartEngine(engine));
-        const int known = arrivals(fleet, engine);
-        BOOST_REQUIRE(waitFor([&] { return arrivals(fleet, engine) > known; }));
+        const int knownArrivals = arrivals(fleet, engine);
+        BOOST_REQUIRE(waitFor([&] { return arrivals(fleet, engine) > knownArrivals; }));
     }
     load.stop();
     BOOST_REQUIRE(load.waitAll());
--- a/test/failure/MembershipLinks.cpp
+++ b/test/failure/MembershipLinks.cpp
@@ -1,4 +1,5 @@
-// Several daemons' memberships over real links: death, hang, restart, leaving, platform down.
+// Tests the membership of several daemons over real links: death, hang, restart, draining and an
+// outage of the platform.
 #define BOOST_TEST_MODULE MembershipLinks
 #include <boost/test/unit_test.hpp>
 
@@ -14,25 +15,25 @@
 
 namespace {
 
-constexpr int Count = 6;
+constexpr int DaemonCount = 6;
 
 struct Fixture {
     Fixture()
     {
         test::ensureApplication();
-        for (int i = 0; i < Count; ++i)
+        for (int i = 0; i < DaemonCount; ++i)
             daemons.push_back(std::make_unique<PeerDaemon>(timers, platform, i));
         for (const std::unique_ptr<PeerDaemon> &daemon : daemons)
             daemon->start();
-        BOOST_REQUIRE(test::waitFor([this] { return allHeard(); }));
+        BOOST_REQUIRE(test::waitFor([this] { return isMembershipComplete(); }));
     }
 
-    /// Every daemon has had word of every other one itself.
-    bool allHeard() const
+    /// Whether every daemon has received a message from every other one itself.
+    bool isMembershipComplete() const
     {
         for (const std::unique_ptr<PeerDaemon> &daemon : daemons) {
             const QList<Member> members = daemon->membership->members();
-            if (members.size() != Count)
+            if (members.size() != DaemonCount)
                 return false;
             for (const Member &member : members) {
                 if (member.incarnation == Incarnation() || member.state != MemberState::Alive)
@@ -60,52 +61,53 @@
 
 BOOST_FIXTURE_TEST_CASE(KilledDaemonIsFoundDeadAndComesBack, Fixture)
 {
-    // A user sees requests go to a target's home daemon that is gone. The process is killed, the
-    // others find its port closed; later the VM starts again under its old name.
-    const VmId victim = numberedVm(2);
+    // Guards against requests to a target's home daemon that has ended. The process is killed, and
+    // the others find its port closed; later the VM restarts under its old name.
+    const VmId failedVm = numberedVm(2);
     daemons[2]->kill();
-    BOOST_REQUIRE(test::waitFor([&] { return allSee(victim, MemberState::Dead); }));
+    BOOST_REQUIRE(test::waitFor([&] { return allSee(failedVm, MemberState::Dead); }));
     daemons[2]->start();
-    BOOST_TEST(test::waitFor([&] { return allSee(victim, MemberState::Alive); }));
-    BOOST_TEST(test::waitFor([this] { return allHeard(); }));
+    BOOST_TEST(test::waitFor([&] { return allSee(failedVm, MemberState::Alive); }));
+    BOOST_TEST(test::waitFor([this] { return isMembershipComplete(); }));
 }
 
 BOOST_FIXTURE_TEST_CASE(HangingDaemonIsFoundDead, Fixture)
 {
-    // Its links stay open and take what is sent; only its heartbeats are missing.
-    const VmId victim = numberedVm(4);
+    // Its links stay open and accept what is sent; only its heartbeats are missing.
+    const VmId failedVm = numberedVm(4);
     daemons[4]->hang();
-    BOOST_TEST(test::waitFor([&] { return allSee(victim, MemberState::Dead); }));
+    BOOST_TEST(test::waitFor([&] { return allSee(failedVm, MemberState::Dead); }));
 }
 
 BOOST_FIXTURE_TEST_CASE(LeavingDaemonIsOutOfTheLiveMembersEverywhere, Fixture)
 {
     const VmId leaving = numberedVm(1);
-    VmId told;
+    VmId notifiedVm;
     daemons[5]->membership->onChange([&](const Member &member) {
         if (member.state == MemberState::Leaving)
-            told = member.vm;
+            notifiedVm = member.vm;
     });
     daemons[1]->membership->setLeaving();
     BOOST_REQUIRE(test::waitFor([&] { return allSee(leaving, MemberState::Leaving); }));
-    BOOST_TEST((told == leaving));
+    BOOST_TEST((notifiedVm == leaving));
     for (const Member &member : daemons[5]->membership->liveMembers())
         BOOST_TEST((member.vm != leaving));
-    BOOST_TEST(daemons[5]->membership->liveMembers().size() == Count - 1);
+    BOOST_TEST(daemons[5]->membership->liveMembers().size() == DaemonCount - 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(VersionsNewsAndCreditsArrive, Fixture)
 {
     std::map<VmId, ConfigurationVersion> versions;
-    std::map<VmId, int> news;
+    std::map<VmId, int> broadcasts;
     int credits = 0;
     for (const std::unique_ptr<PeerDaemon> &daemon : daemons) {
         const VmId vm = daemon->vm();
         daemon->membership->onNewerVersion(
             [&versions, vm](const VmId &, ConfigurationVersion v) { versions[vm] = v; });
         daemon->membership->onBroadcast(
-            PeerMessageKind::Quarantine, [&news, vm](const VmId &origin, const QCborMap &body) {
-                news[vm] +=
+            PeerMessageKind::Quarantine,
+            [&broadcasts, vm](const VmId &origin, const QCborMap &body) {
+                broadcasts[vm] +=
                     origin == numberedVm(3) && body.value(1).toString() == QStringLiteral("print");
             });
     }
@@ -117,9 +119,11 @@
                                                  {{1, QStringLiteral("print")}}));
     BOOST_TEST(!daemons[3]->membership->broadcast(PeerMessageKind::Quarantine,
                                                   {{1, QByteArray(500, 'x')}}));
-    BOOST_REQUIRE(test::waitFor(
-        [&] { return news.size() == Count - 1 && versions.size() == Count - 1 && credits > 0; }));
-    for (const auto &[vm, count] : news)
+    BOOST_REQUIRE(test::waitFor([&] {
+        return broadcasts.size() == DaemonCount - 1 && versions.size() == DaemonCount - 1
+            && credits > 0;
+    }));
+    for (const auto &[vm, count] : broadcasts)
         BOOST_TEST(count == 1);
     for (const auto &[vm, version] : versions)
         BOOST_TEST((version == ConfigurationVersion(8)));
@@ -136,11 +140,11 @@
 BOOST_FIXTURE_TEST_CASE(PlatformOutageChangesNothingAndIsNotPolled, Fixture)
 {
     platform.down = true;
-    const int before = platform.reads;
+    const int readsBefore = platform.reads;
     daemons[0]->kill();
     BOOST_REQUIRE(test::waitFor([&] { return allSee(numberedVm(0), MemberState::Dead); }));
-    // A read a daemon at most fell due in this short time.
-    BOOST_TEST(platform.reads - before <= Count);
-    for (int i = 1; i < Count; ++i)
+    // At most one read per daemon was due in this short time.
+    BOOST_TEST(platform.reads - readsBefore <= DaemonCount);
+    for (int i = 1; i < DaemonCount; ++i)
         BOOST_TEST((allSee(numberedVm(i), MemberState::Alive)));
 }
--- a/test/failure/PausedIssuer.cpp
+++ b/test/failure/PausedIssuer.cpp
@@ -1,7 +1,8 @@
-// Targets load the wrong adapter: the daemon that issues orders was paused after its last look
-// at the clock, its lease lapsed, another became the issuer and gave a newer order, and then the
-// first woke up and sent its old one. The fencing number tells the old order from the new; where
-// a target ignores it, the old one is taken, which is the window that the times keep small.
+// Guards against targets that load the wrong adapter: the daemon that issues orders is paused after
+// its last check of the clock, its lease expires, another daemon becomes the issuer and sends a
+// newer order, and then the first one resumes and sends its old order. The fencing number tells the
+// old order from the new one; a target that ignores it accepts the old one, a window that the lease
+// times keep small.
 #define BOOST_TEST_MODULE PausedIssuer
 #include <boost/test/unit_test.hpp>
 
@@ -32,14 +33,14 @@
 struct Fixture {
     Fixture() { setLogLevel(LogLevel::Error); }
 
-    FencingNumber numberOf(const IssuerLease &issuer)
+    FencingNumber awaitFencingNumber(const IssuerLease &issuer)
     {
         BOOST_REQUIRE(test::waitFor([&] { return issuer.fencingNumber().has_value(); }));
         return *issuer.fencingNumber();
     }
 
     /// Sends an order and returns the status of the answer.
-    int order(const test::StandinProcess &target, FencingNumber number)
+    int sendOrder(const test::StandinProcess &target, FencingNumber number)
     {
         std::optional<int> status;
         const HttpRequest request{"POST",
@@ -67,22 +68,22 @@
     const test::StandinProcess target(QStringLiteral("target"));
     auto paused = std::make_unique<IssuerLease>(store, timers, Service, shortTimes());
     paused->start();
-    const FencingNumber old = numberOf(*paused);
-    paused.reset(); // it renews nothing and wakes up with the number that it had looked up
+    const FencingNumber oldNumber = awaitFencingNumber(*paused);
+    paused.reset(); // stops the renewals; oldNumber was read before
     IssuerLease successor(store, timers, Service, shortTimes());
     successor.start();
-    const FencingNumber next = numberOf(successor);
-    BOOST_CHECK(next > old);
-    BOOST_CHECK(order(target, next) == 200);
-    BOOST_CHECK(order(target, old) == 409);
+    const FencingNumber nextNumber = awaitFencingNumber(successor);
+    BOOST_CHECK(nextNumber > oldNumber);
+    BOOST_CHECK(sendOrder(target, nextNumber) == 200);
+    BOOST_CHECK(sendOrder(target, oldNumber) == 409);
 }
 
 BOOST_FIXTURE_TEST_CASE(TargetThatIgnoresFencingTakesTheOldOrder, Fixture)
 {
-    // The window, stated: nothing but the holder's early stop keeps such an order away.
+    // Shows the remaining window: nothing but the holder's early stop prevents such an order.
     const test::StandinProcess target(QStringLiteral("target"), {"--check_fencing=false"});
-    BOOST_CHECK(order(target, FencingNumber(2)) == 200);
-    BOOST_CHECK(order(target, FencingNumber(1)) == 200);
+    BOOST_CHECK(sendOrder(target, FencingNumber(2)) == 200);
+    BOOST_CHECK(sendOrder(target, FencingNumber(1)) == 200);
 }
 
 BOOST_FIXTURE_TEST_CASE(OnlyOneOfTwoIssues, Fixture)
@@ -91,18 +92,18 @@
     IssuerLease second(store, timers, Service, shortTimes());
     first.start();
     second.start();
-    bool both = false;
-    int renewals = 0;
-    MonotonicTime last = timers.now();
+    bool hasTwoIssuers = false;
+    int leasePeriods = 0;
+    MonotonicTime periodStart = timers.now();
     BOOST_REQUIRE(test::waitFor([&] {
-        both = both || (first.fencingNumber() && second.fencingNumber());
-        if (timers.now() - last > shortTimes().leaseDuration) {
-            last = timers.now();
-            ++renewals;
+        hasTwoIssuers = hasTwoIssuers || (first.fencingNumber() && second.fencingNumber());
+        if (timers.now() - periodStart > shortTimes().leaseDuration) {
+            periodStart = timers.now();
+            ++leasePeriods;
         }
-        return renewals == 4;
+        return leasePeriods == 4;
     }));
-    BOOST_CHECK(!both);
+    BOOST_CHECK(!hasTwoIssuers);
     BOOST_CHECK(test::waitFor([&] { return first.fencingNumber() || second.fencingNumber(); }));
 }
 
@@ -110,12 +111,12 @@
 {
     IssuerLease issuer(store, timers, Service, shortTimes());
     issuer.start();
-    const FencingNumber old = numberOf(issuer);
+    const FencingNumber oldNumber = awaitFencingNumber(issuer);
     platform.setFaults({{"down", true}});
     BOOST_REQUIRE(test::waitFor([&] { return !issuer.fencingNumber(); }));
     platform.setFaults({{"down", false}});
-    // The same again if its lease was renewed before it lapsed, else a greater one.
-    BOOST_CHECK(numberOf(issuer) >= old);
+    // The same number if the lease was renewed before it expired, else a greater one.
+    BOOST_CHECK(awaitFencingNumber(issuer) >= oldNumber);
 }
 
 BOOST_FIXTURE_TEST_CASE(LostAnswerToTheCreationIsSettled, Fixture)
@@ -123,7 +124,7 @@
     platform.setFaults({{"lose_answers", 1}, {"lose_answers_under", "orders/"}});
     IssuerLease issuer(store, timers, Service, shortTimes());
     issuer.start();
-    const FencingNumber number = numberOf(issuer);
+    const FencingNumber number = awaitFencingNumber(issuer);
     test::StoreCalls calls(store);
     const auto entry = calls.read(QStringLiteral("orders/bulletins/issuer"));
     BOOST_REQUIRE(entry);
--- a/test/failure/QuarantineLateNews.cpp
+++ b/test/failure/QuarantineLateNews.cpp
@@ -1,4 +1,4 @@
-// Two daemons whose news of suspects arrives late.
+// Tests two daemons whose notifications of suspects arrive late.
 #define BOOST_TEST_MODULE QuarantineLateNews
 #include <boost/test/unit_test.hpp>
 
@@ -9,29 +9,31 @@
 
 namespace {
 
-/// The targets that a request may crash before it is held back.
-constexpr int MostCrashes = 2;
+/// The number of targets that a request may crash before it is quarantined.
+constexpr int MaxCrashes = 2;
 
-void checkPairs(Milliseconds delay, Milliseconds crashesAfter)
+void checkSuspectPairs(Milliseconds notificationDelay, Milliseconds crashDelay)
 {
-    const SuspectResults results = runSuspectPairs(delay, crashesAfter);
+    const SuspectResults results = runSuspectPairs(notificationDelay, crashDelay);
     BOOST_TEST(results.unfinished == 0);
-    BOOST_TEST(results.mostCrashes == MostCrashes);
+    BOOST_TEST(results.mostCrashes == MaxCrashes);
     BOOST_TEST(results.ordinaryHeldBack == 0);
 }
 
 } // namespace
 
-// Two daemons place suspects at one target before either has heard of the other, and hear of it
-// before the target crashes. That then blames neither, and the request takes further targets.
+// Guards against a target that crashes under two suspects: two daemons send suspects to one target
+// before either has been notified of the other, and both are notified before the target crashes.
+// The crash then confirms neither suspect, and the request crashes further targets.
 BOOST_AUTO_TEST_CASE(NewsOfAReservationComesAfterTheProbationHasStarted)
 {
-    checkPairs(Milliseconds(400), Milliseconds(600));
+    checkSuspectPairs(Milliseconds(400), Milliseconds(600));
 }
 
-// They hear of each other only after the crash. Each blames its own request, so that an ordinary
-// one is held back.
+// Guards against an ordinary request in quarantine: the two daemons are notified of each other only
+// after the crash. Each attributes the crash to its own request, so that an ordinary one is
+// quarantined.
 BOOST_AUTO_TEST_CASE(NewsOfAReservationComesAfterTheCrash)
 {
-    checkPairs(Milliseconds(1000), Milliseconds(200));
+    checkSuspectPairs(Milliseconds(1000), Milliseconds(200));
 }
--- a/test/failure/ResumeNeverConnects.cpp
+++ b/test/failure/ResumeNeverConnects.cpp
@@ -1,4 +1,4 @@
-// A resume that never connects says nothing of the send before it.
+// Tests that a resume that never connects does not change what is known about the send before it.
 #define BOOST_TEST_MODULE ResumeNeverConnects
 #include <boost/test/unit_test.hpp>
 
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr Milliseconds LongerThanConnecting{1500};
-constexpr Milliseconds ShortSilence{200};
+constexpr Milliseconds PastConnectTimeout{1500};
+constexpr Milliseconds ShortStallLimit{200};
 
-/// A listening socket that takes one connection into its queue and no more, so that further
-/// connections neither come about nor fail.
+/// A listening socket that queues one connection and no more, so that further connections are
+/// neither established nor refused.
 class FullListener
 {
 public:
@@ -58,7 +58,7 @@
         m_accepted = ::accept(m_listener, nullptr, nullptr);
         return m_accepted >= 0;
     }
-    /// Takes the one place in the queue.
+    /// Occupies the one place in the queue.
     void fill()
     {
         m_filler = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -68,8 +68,8 @@
     /// Resets the accepted connection.
     void reset()
     {
-        const linger now{1, 0};
-        ::setsockopt(m_accepted, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+        const linger abortOnClose{1, 0};
+        ::setsockopt(m_accepted, SOL_SOCKET, SO_LINGER, &abortOnClose, sizeof(abortOnClose));
         ::close(m_accepted);
         m_accepted = -1;
     }
@@ -81,17 +81,17 @@
     sockaddr_in m_address{};
 };
 
-/// Gives out one target and counts how often it is asked.
-class OneTarget final : public TargetSource
+/// Assigns one target and counts the acquisitions.
+class SingleTargetSource final : public TargetSource
 {
 public:
-    explicit OneTarget(quint16 port)
+    explicit SingleTargetSource(quint16 port)
         : m_port(port)
     {
     }
     void acquire(const TargetDemand &, Callback callback) override
     {
-        ++acquired;
+        ++acquisitions;
         callback(TargetAssignment{TargetId(QStringLiteral("engine")),
                                   {QStringLiteral("127.0.0.1"), m_port},
                                   Incarnation(1)});
@@ -102,13 +102,13 @@
     void requestEnded(const RequestId &) override { }
     bool takeRetry(const WorkspaceId &, const TargetId &) override { return true; }
 
-    int acquired = 0;
+    int acquisitions = 0;
 
 private:
     const quint16 m_port;
 };
 
-class AllClaims final : public ClaimService
+class AlwaysWonClaims final : public ClaimService
 {
 public:
     void claim(const QByteArray &, const QByteArray &, const AttemptId &,
@@ -116,18 +116,19 @@
     {
         callback(ClaimDecision());
     }
-    void release(const QByteArray &, const AttemptId &) override { ++released; }
+    void release(const QByteArray &, const AttemptId &) override { ++releases; }
 
-    int released = 0;
+    int releases = 0;
 };
 
 struct Fixture {
     Fixture() { ensureApplication(); }
 
-    /// Sends an alert, which the engine takes, and blocks every further connection to it.
-    std::shared_ptr<GenerationRun> startAlert(Milliseconds silence)
+    /// Sends a request that must run at most once, which the engine accepts, and blocks every
+    /// further connection to it.
+    std::shared_ptr<GenerationRun> startAtMostOnceRun(Milliseconds stallLimit)
     {
-        context.stallLimits = {Milliseconds(100), silence};
+        context.stallLimits = {Milliseconds(100), stallLimit};
         GenerationRequest request;
         request.id = RequestId(QStringLiteral("alert"));
         request.path = "/v1/completions";
@@ -145,20 +146,20 @@
 
     void checkOutcomeUnknown(const GenerationRun &run)
     {
-        BOOST_REQUIRE(waitFor([&] { return run.hasEnded() || targets.acquired > 1; }));
-        BOOST_TEST(targets.acquired == 1);
+        BOOST_REQUIRE(waitFor([&] { return run.hasEnded() || targets.acquisitions > 1; }));
+        BOOST_TEST(targets.acquisitions == 1);
         BOOST_REQUIRE(run.failure().has_value());
         BOOST_CHECK(run.failure()->kind == ErrorKind::TargetFailed);
         BOOST_CHECK(run.failure()->ran == Ran::Maybe);
-        BOOST_TEST(claims.released == 0);
+        BOOST_TEST(claims.releases == 0);
     }
 
     QtTimerService timers;
     HttpClient client{timers};
     FullListener engine;
-    OneTarget targets{engine.port()};
+    SingleTargetSource targets{engine.port()};
     TargetCancels cancels{client};
-    AllClaims claims;
+    AlwaysWonClaims claims;
     DeliveryContext context{client, timers, targets, cancels, claims, {}, {}, {}};
 };
 
@@ -166,10 +167,10 @@
 
 BOOST_FIXTURE_TEST_CASE(SendThatWasResetIsNotSentAgainForIt, Fixture)
 {
-    // A clinic gets one alert twice. The link to the engine went silent, a resume beside it was
-    // still connecting when the link broke, and then did not connect: as the last stream left,
-    // it was taken for a send of which no byte had gone.
-    const auto run = startAlert(LongerThanConnecting);
+    // Guards against a request that is executed twice: the link to the engine goes silent, a resume
+    // beside it is still connecting when the link breaks, and then does not connect. As it was the
+    // last stream to end, it was taken for a send of which no byte had left.
+    const auto run = startAtMostOnceRun(PastConnectTimeout);
     BOOST_REQUIRE(waitFor([this] { return context.counters.resumes > 0; }));
     engine.reset();
     checkOutcomeUnknown(*run);
@@ -177,8 +178,8 @@
 
 BOOST_FIXTURE_TEST_CASE(TargetBehindAPartitionIsGivenUp, Fixture)
 {
-    // A caller waits to its deadline for an engine that a partition has taken away: the stream
-    // stays open and silent, and no resume connects or fails.
-    const auto run = startAlert(ShortSilence);
+    // Guards against a caller that waits until its deadline for an engine behind a partition: the
+    // stream stays open and silent, and no resume connects or fails.
+    const auto run = startAtMostOnceRun(ShortStallLimit);
     checkOutcomeUnknown(*run);
 }
--- a/test/failure/SecondSenderAttaches.cpp
+++ b/test/failure/SecondSenderAttaches.cpp
@@ -1,4 +1,5 @@
-// A caller that sends its request again through another VM gets the answer of the one run.
+// Tests that a caller that sends its request again through another VM gets the answer of the one
+// run.
 #define BOOST_TEST_MODULE SecondSenderAttaches
 #include <boost/test/unit_test.hpp>
 
@@ -17,16 +18,16 @@
 
 using Stream = std::unique_ptr<FleetStream>;
 
-constexpr int LongAnswer = 300;
-/// Shorter than what a follower waits for before it gives its holder up.
+constexpr int LongAnswerTokens = 300;
+/// Shorter than a follower's timeout, after which it gives its holder up.
 constexpr Milliseconds ShortPause{800};
 
-/// A prompt whose answer is as long as the bound.
+/// Returns a prompt whose answer has the maximum length.
 QString longPrompt()
 {
     for (int i = 0;; ++i) {
         QString prompt = QStringLiteral("recap %1").arg(i);
-        if (answerLength(AnswerLengths(), promptHash(prompt), LongAnswer) == LongAnswer)
+        if (answerLength(AnswerLengths(), promptHash(prompt), LongAnswerTokens) == LongAnswerTokens)
             return prompt;
     }
 }
@@ -56,13 +57,13 @@
         HttpHeaders headers = fleet.caller();
         headers.add("Idempotency-Key", "recap");
         headers.add("Cranberry-Idempotent", "no");
-        return fleet.complete(daemon, prompt, LongAnswer, headers);
+        return fleet.complete(daemon, prompt, LongAnswerTokens, headers);
     }
 
     void checkWhole(const FleetStream &stream)
     {
         BOOST_CHECK_MESSAGE(stream.isWhole(), stream.response().body.right(400).constData());
-        BOOST_TEST(stream.tokenCount() == LongAnswer);
+        BOOST_TEST(stream.tokenCount() == LongAnswerTokens);
         BOOST_CHECK(checkAnswer(prompt, stream.answer().texts()) == AnswerFault::None);
     }
 
@@ -74,8 +75,9 @@
 
 BOOST_FIXTURE_TEST_CASE(WhileItRunsAndAfterwards, Fixture)
 {
-    // A broker's connection breaks and its client sends the recap again; the balancer picks
-    // another VM. Refused, the broker would have no recap; run again, there would be two.
+    // A caller's connection breaks, and its client sends the request again; the balancer picks
+    // another VM. A refusal would leave the caller without an answer, and a second run would give
+    // two.
     const Stream first = send(0);
     BOOST_REQUIRE(first->waitForTokens(20));
     const Stream second = send(1);
@@ -93,7 +95,7 @@
 
 BOOST_FIXTURE_TEST_CASE(FirstCallerLeft, Fixture)
 {
-    // The first connection is gone for good when the second send arrives.
+    // The first connection is closed for good when the second request arrives.
     Stream first = send(0);
     BOOST_REQUIRE(first->waitForTokens(20));
     first.reset();
@@ -105,8 +107,8 @@
 
 BOOST_FIXTURE_TEST_CASE(HolderDies, Fixture)
 {
-    // The VM that runs the recap dies while the second sender follows. The answer cannot be
-    // completed; the caller is told so and nothing of another run is put behind it.
+    // The VM that runs the request fails while the second sender follows. The answer cannot be
+    // completed; the caller gets an error, and nothing of another run is appended.
     const Stream first = send(0);
     BOOST_REQUIRE(first->waitForTokens(20));
     const Stream second = send(1);
@@ -124,14 +126,14 @@
 
 BOOST_FIXTURE_TEST_CASE(HolderIsPaused, Fixture)
 {
-    // The VM that runs the recap is frozen for a moment. Asks repeat meanwhile and are all
-    // answered afterwards; doubled events must not reach the caller.
+    // The VM that runs the request is paused briefly. Requests for events are repeated meanwhile
+    // and all answered afterwards; duplicated events must not reach the caller.
     const Stream first = send(0);
     BOOST_REQUIRE(first->waitForTokens(20));
     const Stream second = send(1);
     BOOST_REQUIRE(second->waitForTokens(20));
     fleet.daemon(0).pause();
-    const auto wake =
+    const auto resumeTimer =
         fleet.client().timers().after(ShortPause, [this] { fleet.daemon(0).resume(); });
     BOOST_REQUIRE(second->waitOver());
     BOOST_REQUIRE(first->waitOver());
@@ -142,16 +144,16 @@
 
 BOOST_FIXTURE_TEST_CASE(HolderShutsDown, Fixture)
 {
-    // The VM that runs the recap is replaced in good order, and the one that follows it is
-    // behind, frozen for a moment. The holder may not go before its followers have everything.
+    // The VM that runs the request shuts down gracefully, and the VM that follows it is behind
+    // because it is paused briefly. The holder must not end before its followers have every event.
     const Stream first = send(0);
     BOOST_REQUIRE(first->waitForTokens(20));
     const Stream second = send(1);
-    BOOST_REQUIRE(second->waitForTokens(LongAnswer - 60));
+    BOOST_REQUIRE(second->waitForTokens(LongAnswerTokens - 60));
     fleet.daemon(1).pause();
     fleet.daemon(0).terminate();
     BOOST_REQUIRE(first->waitOver());
-    const auto wake =
+    const auto resumeTimer =
         fleet.client().timers().after(ShortPause, [this] { fleet.daemon(1).resume(); });
     BOOST_REQUIRE(second->waitOver());
     checkWhole(*first);
